--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -593,4 +593,7 @@
 }
 
 }  // namespace
+
+std::span<const Scenario> meeting_scenarios() { return kMeetings; }
+
 }  // namespace larkroad::sim
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -243,4 +243,7 @@
                          [](const auto& info) { return std::string(info.param.name); });
 
 }  // namespace
+
+std::span<const Scenario> service_scenarios() { return kServing; }
+
 }  // namespace larkroad::sim
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -102,13 +102,14 @@
   std::unique_ptr<coordination::Node> node;
 };
 
-World::World(std::uint64_t seed, Troubles t)
+World::World(std::uint64_t seed, Troubles t, SendObserver observer)
     : settings(world_settings(t)),
       random(seed),
       troubles(t),
       checker(settings),
       state(*this),
-      state_limits(settings.state_limits) {
+      state_limits(settings.state_limits),
+      observer_(std::move(observer)) {
   for (size_t i = 0; i < 3; ++i) {
     hosts_.push_back(std::make_unique<Host>());
     hosts_[i]->settings = node_settings(i, troubles);
@@ -318,6 +319,9 @@
 
 void World::send(const std::string& from, const std::string& address, Request request,
                  Seconds timeout, OnReply reply, std::shared_ptr<bool> alive) {
+  if (observer_ && from.starts_with("node-")) {
+    observer_(events.now(), from, address, request, nullptr);
+  }
   const std::string to = host_of(address);
   // The reply comes once: the answer or the time-out, whichever is first.
   auto over = std::make_shared<bool>(false);
@@ -433,6 +437,7 @@
         respond(response);
       };
     }
+    respond = observed(to, from, request, std::move(respond));
     when_thawed(to, [&host, alive = host.alive, address, request, respond = std::move(respond)] {
       if (!*alive) return;
       if (address.ends_with(":8081")) {
@@ -444,6 +449,16 @@
   }
 }
 
+Respond World::observed(const std::string& controller, const std::string& receiver,
+                        const Request& request, Respond respond) {
+  if (!observer_) return respond;
+  return [this, controller, receiver, request,
+          respond = std::move(respond)](const Response& response) {
+    observer_(events.now(), controller, receiver, request, &response);
+    respond(response);
+  };
+}
+
 int World::commit_again(const std::pair<std::string, Request>& commit) {
   int status = 0;
   state.handle(commit.second, commit.first,
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -184,12 +184,18 @@
   std::optional<StateLimits> next_limits{};
 };
 
+// Told of everything that a controller sends, in order: a request, as the controller made it, with
+// the address it is for; or a response, beside the request it answers, with the host that asked.
+using SendObserver =
+    std::function<void(Seconds when, const std::string& sender, const std::string& receiver,
+                       const Request& request, const Response* response)>;
+
 // A submission as users send it.
 std::string submission_body(const JobSpec& spec);
 
 class World {
  public:
-  World(std::uint64_t seed, Troubles troubles);
+  World(std::uint64_t seed, Troubles troubles, SendObserver observer = {});
   ~World();
 
   void run(Seconds until) { events.run(until); }
@@ -279,6 +285,9 @@
  private:
   friend class Worker;
   struct Host;
+  // Passes the controller's response on, and tells the observer of it.
+  Respond observed(const std::string& controller, const std::string& receiver,
+                   const Request& request, Respond respond);
   void boot(size_t node);
   void deliver(const std::string& from, const std::string& address, const Request& request,
                Respond respond);
@@ -306,6 +315,7 @@
   void gang_ready(const std::string& job, std::uint64_t attempt);
   void gang_lost(const std::string& job, std::uint64_t attempt);
 
+  SendObserver observer_;
   std::vector<std::unique_ptr<Host>> hosts_;
   std::map<std::pair<std::string, std::string>, Seconds> cuts_;
   std::map<std::pair<std::string, std::string>, Seconds> refused_;
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -615,4 +615,7 @@
                          [](const auto& info) { return std::string(info.param.name); });
 
 }  // namespace
+
+std::span<const Scenario> single_trouble_scenarios() { return kScenarios; }
+
 }  // namespace larkroad::sim
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -312,4 +312,7 @@
 }
 
 }  // namespace
+
+std::span<const Scenario> upgrade_scenarios() { return kUpgrades; }
+
 }  // namespace larkroad::sim
