--- /dev/null
+++ b/tests/sim/digest.cpp
@@ -0,0 +1,192 @@
+// Digests of what the controllers send in fixed simulated runs. Two versions that behave the same
+// print the same lines; where they differ, the dumps of a run show the first message that does.
+//
+//   larkroad_digest                one line a run: name, seed, number of messages, digest
+//   larkroad_digest --dump NAME    every message of that run
+//   larkroad_digest --repeat NAME  plays that run twice; fails unless both digests agree
+#include <fmt/format.h>
+
+#include <cstdint>
+#include <cstdio>
+#include <functional>
+#include <stdexcept>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "log.hpp"
+#include "sim/scenario.hpp"
+
+namespace larkroad::sim {
+namespace {
+
+// The 64-bit hash FNV-1a.
+class Fnv1a {
+ public:
+  void add(std::string_view bytes) {
+    for (const char byte : bytes) {
+      value_ ^= static_cast<unsigned char>(byte);
+      value_ *= kPrime;
+    }
+  }
+  std::uint64_t value() const { return value_; }
+
+ private:
+  static constexpr std::uint64_t kOffsetBasis = 0xcbf29ce484222325;
+  static constexpr std::uint64_t kPrime = 0x100000001b3;
+  std::uint64_t value_ = kOffsetBasis;
+};
+
+struct Run {
+  const char* name;
+  std::uint64_t seed;
+};
+
+// Names of scenarios in the tables of the tests, or of kOwnScenarios.
+constexpr Run kRuns[] = {
+    {"lost_answers", 1},
+    {"leader_crashes", 2},
+    {"all_crash_with_relays", 3},
+    {"state_outage", 1},
+    {"leader_cut_from_all", 2},
+    {"crowded", 1},
+    {"machines_die", 2},
+    {"large_jobs_under_load", 1},
+    {"a_node_stands_still", 3},
+    {"relays_with_slow_answers", 1},
+    {"relays_while_leaders_change", 2},
+    {"all_at_once", 3},
+    {"hung_machines_and_cancellations", 1},
+    {"odd_requests_and_a_slow_state_service", 2},
+    {"copies_of_direct_commands", 3},
+    {"machines_go_and_leaders_change", 1},
+    {"cancelled_while_cut_off_and_refused", 2},
+    {"crashes_on_the_way", 1},
+    {"relays_of_both_versions", 2},
+    {"watch_held_up_zones_apart_and_smaller_limits", 1},
+    {"services_pushed_aside", 1},
+};
+
+const Scenario kOwnScenarios[] = {
+    // Limits that nobody announced; jobs with a mistake; a leader whose watch goes unanswered.
+    {"watch_held_up_zones_apart_and_smaller_limits",
+     {0.005, 0.005, 20, 0.2},
+     [](World& w) {
+       w.events.at(20, [&w] { w.state_limits.txn_ops = 2; });
+       JobSpec wide = testing::spec("job-5000", 100, 0.25);
+       wide.memory_gb = 0.1;
+       w.submit(wide, 25);
+       JobSpec wrong = testing::spec("job-5001", 4);
+       w.faulty_jobs.insert(wrong.id);
+       w.submit(wrong, 30);
+       w.events.at(150, [&w, id = wrong.id] { w.cancel(id); });
+       to_leader(w, 45, [&w](size_t i) { w.state.hold_watches(node(i), 100); });
+       w.events.at(110, [&w] { w.cut_zones(20); });
+     }},
+    // Urgent work for which replicas and arrays of little priority make room.
+    {"services_pushed_aside",
+     {},
+     [](World& w) {
+       w.capacity = 8;
+       for (int k = 0; k < 6; ++k) {
+         JobSpec replicas = testing::service("job-" + std::to_string(5000 + k), 3, 1 + k % 3);
+         replicas.priority = protocol::Priority::low;
+         replicas.team = k % 2 == 0 ? "red" : "blue";
+         w.submit(replicas, 5 + k);
+         w.events.at(150, [&w, id = replicas.id] { w.cancel(id); });
+       }
+       for (int k = 0; k < 30; ++k) {
+         JobSpec urgent = testing::spec("job-" + std::to_string(6000 + k), 1 + k % 4, 2);
+         urgent.priority = protocol::Priority::high;
+         urgent.team = k % 2 == 0 ? "blue" : "red";
+         urgent.estimate_s = 6;
+         w.submit(urgent, 30 + 3 * k);
+       }
+     }},
+};
+
+const Scenario& scenario_named(std::string_view name) {
+  for (const auto& table : {single_trouble_scenarios(), meeting_scenarios(), service_scenarios(),
+                            upgrade_scenarios(), std::span<const Scenario>(kOwnScenarios)}) {
+    for (const Scenario& scenario : table) {
+      if (name == scenario.name) return scenario;
+    }
+  }
+  throw std::runtime_error(fmt::format("no scenario is named {}", name));
+}
+
+const Run& run_named(std::string_view name) {
+  for (const Run& run : kRuns) {
+    if (name == run.name) return run;
+  }
+  throw std::runtime_error(fmt::format("no run is named {}", name));
+}
+
+// One line: the time in full precision, who sends what to whom, and the body at the end.
+std::string message_line(Seconds when, const std::string& sender, const std::string& receiver,
+                         const Request& request, const Response* response) {
+  const std::string head =
+      fmt::format("{} {} -> {} {} {}", when, sender, receiver, request.method, request.target);
+  if (response == nullptr) return fmt::format("{} {}\n", head, request.body);
+  return fmt::format("{} status={} retry_after={} brief={} {}\n", head, response->status,
+                     response->retry_after_s, response->brief, response->body);
+}
+
+void play_run(const Run& run, const std::function<void(const std::string& line)>& on_message) {
+  const Scenario& scenario = scenario_named(run.name);
+  World world(run.seed, scenario.troubles,
+              [&](Seconds when, const std::string& sender, const std::string& receiver,
+                  const Request& request, const Response* response) {
+                on_message(message_line(when, sender, receiver, request, response));
+              });
+  play(world, scenario);
+}
+
+std::string digest_line(const Run& run) {
+  std::uint64_t messages = 0;
+  Fnv1a hash;
+  play_run(run, [&](const std::string& line) {
+    ++messages;
+    hash.add(line);
+  });
+  return fmt::format("{} {} {} {:016x}\n", run.name, run.seed, messages, hash.value());
+}
+
+void print(const std::string& text) {
+  std::fwrite(text.data(), 1, text.size(), stdout);
+  std::fflush(stdout);
+}
+
+bool repeats(const Run& run) {
+  const std::string first = digest_line(run);
+  const std::string second = digest_line(run);
+  print(first + second);
+  return first == second;
+}
+
+int run_tool(const std::vector<std::string>& arguments) {
+  spdlog::set_level(spdlog::level::off);
+  if (arguments.empty()) {
+    for (const Run& run : kRuns) print(digest_line(run));
+  } else if (arguments.size() == 2 && arguments[0] == "--dump") {
+    play_run(run_named(arguments[1]), print);
+  } else if (arguments.size() == 2 && arguments[0] == "--repeat") {
+    if (!repeats(run_named(arguments[1]))) return 1;
+  } else {
+    throw std::runtime_error("usage: larkroad_digest [--dump NAME | --repeat NAME]");
+  }
+  // An expectation of the simulation itself that failed on the way was printed by gtest.
+  return ::testing::Test::HasFailure() ? 1 : 0;
+}
+
+}  // namespace
+}  // namespace larkroad::sim
+
+int main(int argc, char** argv) {
+  try {
+    return larkroad::sim::run_tool({argv + 1, argv + argc});
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "%s\n", error.what());
+    return 2;
+  }
+}
