--- a/tests/sim/digest.cpp
+++ b/tests/sim/digest.cpp
@@ -65,6 +65,7 @@
     {"relays_of_both_versions", 2},
     {"watch_held_up_zones_apart_and_smaller_limits", 1},
     {"services_pushed_aside", 1},
+    {"jobs_with_gpus", 1},
 };
 
 const Scenario kOwnScenarios[] = {
@@ -103,6 +104,18 @@
          w.submit(urgent, 30 + 3 * k);
        }
      }},
+    {"jobs_with_gpus",
+     {0.005, 0.005, 20, 0.1},
+     [](World& w) {
+       for (int k = 0; k < 24; ++k) {
+         JobSpec spec = testing::spec("job-" + std::to_string(5000 + k), 1 + k % 3, 2);
+         spec.gpus = 1;
+         spec.shape = k % 4 == 0 ? protocol::Shape::gang : protocol::Shape::array;
+         spec.priority = k % 3 == 0 ? protocol::Priority::high : protocol::Priority::low;
+         w.submit(spec, 5 + 4 * k);
+       }
+       to_leader(w, 60, [&w](size_t i) { w.kill(i, 2); });
+     }},
 };
 
 const Scenario& scenario_named(std::string_view name) {
