--- a/src/coordination/user_api.cpp
+++ b/src/coordination/api/user_api.cpp
@@ -1,8 +1,8 @@
-#include "coordination/user_api.hpp"
+#include "coordination/api/user_api.hpp"
 
 #include <algorithm>
 
-#include "coordination/cluster_state.hpp"
+#include "coordination/cluster_state/cluster_state.hpp"
 #include "log.hpp"
 
 namespace larkroad::coordination {
@@ -94,7 +94,7 @@
     known.tasks = it->second.tasks;
   } else if (!protocol::valid_job_id(id)) {
     known.status = Status::missing;
-  } else if (!state_.worth_trying()) {
+  } else if (!store_.worth_trying()) {
     known.status = Status::unavailable;
   } else {
     return false;
@@ -114,7 +114,7 @@
 // and then the other cannot miss a job that was there before the first read.
 void UserApi::look_up(const std::string& id, std::function<void(const Known&)> done) {
   if (known_without_reading(id, done)) return;
-  state_.get(
+  store_.get(
       storage::job_key(id),
       [this, id, done = std::move(done)](Status status, storage::Entry entry) {
         if (status == Status::missing) {
@@ -126,7 +126,7 @@
         if (status == Status::ok) {
           try {
             found.record = storage::decode_job(id, entry.data);
-            found.mark = entry.mark;
+            found.revision = entry.revision;
             found.state = state_of(id, found.record.cancelled);
           } catch (const std::exception& error) {
             spdlog::error("record of {}: {}", id, error.what());
@@ -135,7 +135,7 @@
         }
         done(found);
       },
-      storage::Use::user);
+      storage::RequestPriority::user);
 }
 
 void UserApi::look_up_shared(const std::string& id, std::function<void(const Known&)> done) {
@@ -154,7 +154,7 @@
 }
 
 void UserApi::look_up_finished(const std::string& id, std::function<void(const Known&)> done) {
-  state_.get(
+  store_.get(
       storage::finished_key(id),
       [this, id, done = std::move(done)](Status status, storage::Entry entry) {
         Known over;
@@ -167,7 +167,7 @@
         }
         done(over);
       },
-      storage::Use::user);
+      storage::RequestPriority::user);
 }
 
 void UserApi::answer_known(const std::string& id, const Known& known, const Respond& respond) {
@@ -247,23 +247,23 @@
     look_up(spec.id, [&](const Known& known) { answer_known(spec.id, known, respond); });
     return;
   }
-  if (!state_.worth_trying()) {
+  if (!store_.worth_trying()) {
     busy(respond);
     return;
   }
-  const StateLimits limits = settings_.lasting_state_limits();
+  const StoreLimits limits = settings_.lasting_store_limits();
   const storage::JobRecord record{spec, clock_.unix_time(),
-                                  storage::tasks_per_chunk(limits.value_kb), false};
+                                  storage::max_tasks_per_shard(limits.value_kb), false};
   if (!storage::can_be_cancelled_within(record, limits.value_bytes())) {
     refuse(spec.id, 400, "the names in it are too long together", std::move(respond));
     return;
   }
   storage::Transaction txn;
-  txn.guards.push_back({storage::job_key(spec.id), 0});
-  txn.guards.push_back({storage::finished_key(spec.id), 0});
+  txn.preconditions.push_back({storage::job_key(spec.id), 0});
+  txn.preconditions.push_back({storage::finished_key(spec.id), 0});
   txn.writes.push_back({storage::job_key(spec.id), storage::encode(record), std::nullopt});
   // A write without an answer is read back before the user is told anything final.
-  state_.settle(
+  store_.commit_until_certain(
       std::move(txn), [this, until] { return clock_.now() < until; },
       [this, id = spec.id, respond = std::move(respond)](const storage::CommitReply& reply) {
         if (reply.status == Status::ok) {
@@ -282,7 +282,7 @@
           }
         });
       },
-      storage::Use::user);
+      storage::RequestPriority::user);
 }
 
 void UserApi::query(const std::string& id, Respond respond) {
@@ -324,11 +324,11 @@
     storage::JobRecord record = known.record;
     record.cancelled = true;
     storage::Transaction txn;
-    txn.guards.push_back({storage::job_key(id), known.mark});
-    const double value_bytes = settings_.lasting_state_limits().value_bytes();
+    txn.preconditions.push_back({storage::job_key(id), known.revision});
+    const double value_bytes = settings_.lasting_store_limits().value_bytes();
     txn.writes.push_back(
         {storage::job_key(id), storage::encode_within(record, value_bytes), std::nullopt});
-    state_.settle(
+    store_.commit_until_certain(
         std::move(txn), [this, until] { return clock_.now() < until; },
         [this, id, until, respond](const storage::CommitReply& reply) {
           if (reply.status == Status::ok) {
@@ -340,7 +340,7 @@
             busy(respond);
           }
         },
-        storage::Use::user);
+        storage::RequestPriority::user);
   });
 }
 
--- a/src/coordination/user_api.hpp
+++ b/src/coordination/api/user_api.hpp
@@ -5,12 +5,12 @@
 #include <string>
 #include <unordered_map>
 
-#include "coordination/catalog.hpp"
-#include "protocol/jobs.hpp"
+#include "coordination/scaling/machine_catalog.hpp"
+#include "protocol/job_messages.hpp"
 #include "settings.hpp"
-#include "storage/job_view.hpp"
+#include "storage/job_cache.hpp"
+#include "storage/key_value_client.hpp"
 #include "storage/records.hpp"
-#include "storage/state_client.hpp"
 #include "transport/http.hpp"
 
 namespace larkroad::coordination {
@@ -21,13 +21,13 @@
 
 class UserApi {
  public:
-  UserApi(transport::Clock& clock, storage::StateClient& state, const Catalog& catalog,
+  UserApi(transport::Clock& clock, storage::KeyValueClient& store, const MachineCatalog& catalog,
           const Settings& settings)
       : clock_(clock),
-        state_(state),
+        store_(store),
         catalog_(catalog),
         settings_(settings),
-        view_(clock, state, settings) {}
+        view_(clock, store, settings) {}
 
   void handle(transport::Request request, transport::Respond respond);
 
@@ -51,8 +51,8 @@
   struct Known {
     storage::Status status = storage::Status::unknown;  // ok, missing, or no answer to be had
     protocol::JobState state = protocol::JobState::queued;
-    std::uint32_t tasks = 0;  // of a job that is over
-    std::uint64_t mark = 0;   // of a job that is not over
+    std::uint32_t tasks = 0;     // of a job that is over
+    std::uint64_t revision = 0;  // of a job that is not over
     storage::JobRecord record;
   };
   // Answers by what needs no read: false when one is needed.
@@ -75,10 +75,10 @@
   void remember(const std::string& id, const storage::FinishedRecord& record);
 
   transport::Clock& clock_;
-  storage::StateClient& state_;
-  const Catalog& catalog_;
+  storage::KeyValueClient& store_;
+  const MachineCatalog& catalog_;
   const Settings& settings_;
-  storage::JobView view_;
+  storage::JobCache view_;
   std::unordered_map<std::string, Progress> progress_;
   // Jobs that are over never change, so they are answered from memory.
   std::unordered_map<std::string, storage::FinishedRecord> finished_;
--- a/src/coordination/cluster_state.cpp
+++ b/src/coordination/cluster_state/cluster_state.cpp
@@ -1,4 +1,4 @@
-#include "coordination/cluster_state.hpp"
+#include "coordination/cluster_state/cluster_state.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -40,7 +40,7 @@
 }
 
 std::uint32_t Resources::times(const Resources& need) const {
-  double most = protocol::kMostTasks;
+  double most = protocol::kMaxTasksPerJob;
   const auto part = [&most](double have, double each) {
     if (each > 0) most = std::min(most, std::floor((have + kRounding) / each));
   };
@@ -58,32 +58,34 @@
 Resources capacity_of(const MachineType& type) { return {type.cpus, type.gpus, type.memory_gb}; }
 
 std::uint32_t Job::waiting() const {
-  if (cancelled || gang_broken) return 0;
-  return spec.tasks - next_fresh + static_cast<std::uint32_t>(returned.size());
+  if (cancelled || gang_aborting) return 0;
+  return spec.tasks - next_never_placed + static_cast<std::uint32_t>(requeued.size());
 }
 
-bool Job::succeeds_beside(const std::string& machine) const {
+bool Job::succeeds_elsewhere_than(const std::string& machine) const {
   if (!spec.is_service()) return done_count > 0;
-  return std::any_of(live.begin(), live.end(), [&](const auto& entry) {
+  return std::any_of(placements.begin(), placements.end(), [&](const auto& entry) {
     return entry.second.proven && entry.second.machine != machine;
   });
 }
 
-bool Job::started_beside(const std::string& machine) const {
-  return started_on.size() > started_on.count(machine);
+bool Job::started_elsewhere_than(const std::string& machine) const {
+  return started_machines.size() > started_machines.count(machine);
 }
 
 void Job::note_start(const std::string& machine) {
   // Two tell for any machine whether there is another one.
-  if (started_on.size() < 2) started_on.insert(machine);
+  if (started_machines.size() < 2) started_machines.insert(machine);
 }
 
-bool Job::over() const { return done_count == spec.tasks || (cancelled && live.empty()); }
+bool Job::is_finished() const {
+  return done_count == spec.tasks || (cancelled && placements.empty());
+}
 
 std::uint32_t Job::running() const {
   std::uint32_t count = 0;
-  for (const auto& [task, placement] : live) {
-    count += placement.stage == Placement::Stage::held &&
+  for (const auto& [task, placement] : placements) {
+    count += placement.stage == Placement::Stage::acknowledged &&
              (placement.state == TaskState::running || placement.state == TaskState::saving);
   }
   return count;
@@ -96,8 +98,9 @@
 }
 
 bool Machine::usable(Seconds now, Seconds patience) const {
-  return now - reported_at <= patience && heard && present && unreachable_since < 0 && !silent &&
-         !returning && !quarantined && !taken_at && now >= refused_until && !address.empty();
+  return now - last_worker_heartbeat_at <= patience && has_reported && identity_confirmed &&
+         unreachable_since < 0 && !lease_expired && !being_released && !quarantined &&
+         !reclaimed_at && now >= refused_until && !address.empty();
 }
 
 void Machine::touch_image(const std::string& image, double gb, double cache_gb, Seconds now) {
@@ -122,21 +125,21 @@
 }
 
 Job& ClusterState::add_job(const std::string& id, const storage::JobRecord& record,
-                           std::uint64_t mark) {
+                           std::uint64_t revision) {
   auto job = std::make_unique<Job>();
   job->spec = record.spec;
-  job->mark = mark;
+  job->revision = revision;
   job->submitted_at = record.submitted_at;
   job->submitted = record.submitted_at - day_offset_;
-  job->chunk_tasks = record.chunk_tasks;
+  job->tasks_per_shard = record.tasks_per_shard;
   job->cancelled = record.cancelled;
   job->done.assign(record.spec.tasks, false);
-  if (has_large_chunks(*job)) {
-    // Tasks of several chunks are placed in turn, so not in the order of their numbers.
+  if (has_oversized_shards(*job)) {
+    // Tasks of several shards are placed in turn, so not in the order of their numbers.
     for (std::uint32_t task = 0; task < job->spec.tasks; ++task) {
-      job->returned.insert(job->returned.end(), task);
+      job->requeued.insert(job->requeued.end(), task);
     }
-    job->next_fresh = job->spec.tasks;
+    job->next_never_placed = job->spec.tasks;
   }
   auto& slot = jobs_[id];
   slot = std::move(job);
@@ -168,56 +171,59 @@
   }
 }
 
-void ClusterState::load_chunk(Job& job, std::uint32_t chunk, const storage::ChunkRecord& record,
-                              std::uint64_t mark, std::uint64_t doubt_token, Seconds now) {
-  job.chunks[chunk] = {mark, record.attempt, false, 0};
-  const std::uint32_t first = chunk * job.chunk_tasks;
-  const std::uint32_t end = std::min(first + job.chunk_tasks, job.spec.tasks);
+void ClusterState::restore_placements(Job& job, std::uint32_t shard,
+                                      const storage::PlacementRecord& record,
+                                      std::uint64_t revision, std::uint64_t uncertain_fencing_token,
+                                      Seconds now) {
+  job.shards[shard] = {revision, record.attempt, false, 0};
+  const std::uint32_t first = shard * job.tasks_per_shard;
+  const std::uint32_t end = std::min(first + job.tasks_per_shard, job.spec.tasks);
   // A replica of a service is never done, whatever a controller that took it for an array's task
   // has recorded.
   if (!job.spec.is_service()) load_done(job, record.done, end);
   for (const auto& placed : record.placed) {
     if (placed.task >= end || job.done[placed.task]) continue;
     Machine& m = machine(placed.machine);
-    m.session = std::max(m.session, placed.session);
-    m.uncertain_launches[{{job.id(), placed.task}, placed.attempt}] = {doubt_token, false};
+    m.incarnation = std::max(m.incarnation, placed.incarnation);
+    m.unresolved_launches[{{job.id(), placed.task}, placed.attempt}] = {uncertain_fencing_token,
+                                                                        false};
     Placement& p = place(job, placed.task, m, placed.attempt, now);
-    p.session = placed.session;
-    p.stage = Placement::Stage::recorded;
-    p.inherited = true;
+    p.incarnation = placed.incarnation;
+    p.stage = Placement::Stage::persisted;
+    p.recovered = true;
     if (job.spec.is_gang()) job.gang_attempt = std::max(job.gang_attempt, placed.attempt);
   }
   // Chunks are written as they are needed, so every task up to this one may have been placed.
-  for (std::uint32_t task = job.next_fresh; task < first; ++task) {
-    if (!job.done[task] && !job.live.contains(task)) job.returned.insert(task);
+  for (std::uint32_t task = job.next_never_placed; task < first; ++task) {
+    if (!job.done[task] && !job.placements.contains(task)) job.requeued.insert(task);
   }
   for (std::uint32_t task = first; task < end; ++task) {
-    if (!job.done[task] && !job.live.contains(task)) {
-      job.returned.insert(task);
+    if (!job.done[task] && !job.placements.contains(task)) {
+      job.requeued.insert(task);
     } else {
-      job.returned.erase(task);
+      job.requeued.erase(task);
     }
   }
-  job.next_fresh = std::max(job.next_fresh, end);
+  job.next_never_placed = std::max(job.next_never_placed, end);
 }
 
-bool ClusterState::has_large_chunks(const Job& job) const {
-  const auto together = std::min(job.chunk_tasks, job.spec.tasks);
-  return together > storage::tasks_per_chunk(settings_.lasting_state_limits().value_kb);
+bool ClusterState::has_oversized_shards(const Job& job) const {
+  const auto together = std::min(job.tasks_per_shard, job.spec.tasks);
+  return together > storage::max_tasks_per_shard(settings_.lasting_store_limits().value_kb);
 }
 
-size_t ClusterState::record_bytes_left(const Job& job, std::uint32_t chunk) const {
-  const auto limit = static_cast<size_t>(settings_.lasting_state_limits().value_bytes());
-  const size_t used = storage::encoded_size(storage::encode(chunk_record(job, chunk)));
+size_t ClusterState::record_bytes_left(const Job& job, std::uint32_t shard) const {
+  const auto limit = static_cast<size_t>(settings_.lasting_store_limits().value_bytes());
+  const size_t used = storage::encoded_size(storage::encode(placement_record(job, shard)));
   return limit - std::min(limit, used);
 }
 
-storage::ChunkRecord ClusterState::chunk_record(const Job& job, std::uint32_t chunk) const {
-  storage::ChunkRecord record;
-  const auto it = job.chunks.find(chunk);
-  if (it != job.chunks.end()) record.attempt = it->second.attempt;
-  const std::uint32_t first = chunk * job.chunk_tasks;
-  const std::uint32_t end = std::min(first + job.chunk_tasks, job.spec.tasks);
+storage::PlacementRecord ClusterState::placement_record(const Job& job, std::uint32_t shard) const {
+  storage::PlacementRecord record;
+  const auto it = job.shards.find(shard);
+  if (it != job.shards.end()) record.attempt = it->second.attempt;
+  const std::uint32_t first = shard * job.tasks_per_shard;
+  const std::uint32_t end = std::min(first + job.tasks_per_shard, job.spec.tasks);
   for (std::uint32_t task = first; task < end; ++task) {
     if (!job.done[task]) continue;
     if (!record.done.empty() && record.done.back().second + 1 == task) {
@@ -226,8 +232,10 @@
       record.done.emplace_back(task, task);
     }
   }
-  for (auto p = job.live.lower_bound(first); p != job.live.end() && p->first < end; ++p) {
-    record.placed.push_back({p->first, p->second.attempt, p->second.machine, p->second.session});
+  for (auto p = job.placements.lower_bound(first); p != job.placements.end() && p->first < end;
+       ++p) {
+    record.placed.push_back(
+        {p->first, p->second.attempt, p->second.machine, p->second.incarnation});
   }
   return record;
 }
@@ -261,22 +269,22 @@
   p.task = task;
   p.attempt = attempt;
   p.machine = machine.name;
-  p.session = machine.session;
+  p.incarnation = machine.incarnation;
   p.placed_at = now;
   job.last_placed_at = now;
-  if (job.returned.erase(task) == 0 && task == job.next_fresh) ++job.next_fresh;
-  Chunk& chunk = job.chunks[job.chunk_of(task)];
-  chunk.attempt = std::max(chunk.attempt, attempt);
+  if (job.requeued.erase(task) == 0 && task == job.next_never_placed) ++job.next_never_placed;
+  PlacementShard& shard = job.shards[job.shard_of(task)];
+  shard.attempt = std::max(shard.attempt, attempt);
   machine.used += needs_of(job.spec);
   machine.used_by_priority[static_cast<size_t>(job.spec.priority)] += needs_of(job.spec);
   machine.tasks.insert({job.id(), task});
   used_[job.spec.team] += needs_of(job.spec);
-  return job.live[task] = std::move(p);
+  return job.placements[task] = std::move(p);
 }
 
 void ClusterState::release(Job& job, std::uint32_t task, Seconds now) {
-  const auto it = job.live.find(task);
-  if (it == job.live.end()) return;
+  const auto it = job.placements.find(task);
+  if (it == job.placements.end()) return;
   if (Machine* m = find_machine(it->second.machine)) {
     m->used -= needs_of(job.spec);
     m->used_by_priority[static_cast<size_t>(job.spec.priority)] -= needs_of(job.spec);
@@ -288,33 +296,33 @@
     }
   }
   used_[job.spec.team] -= needs_of(job.spec);
-  job.live.erase(it);
+  job.placements.erase(it);
   // The attempt is over with its last task, however that ended: some may be done, and the rest
   // lost with their machines.
-  if (job.spec.is_gang() && job.live.empty()) {
-    job.gang_broken = false;
+  if (job.spec.is_gang() && job.placements.empty()) {
+    job.gang_aborting = false;
     job.gang_started = false;
   }
 }
 
 void ClusterState::unplace(Job& job, std::uint32_t task, Seconds now) {
   release(job, task, now);
-  job.returned.insert(task);
+  job.requeued.insert(task);
   if (job.spec.is_service()) job.replica_lost_at = now;
 }
 
 void ClusterState::finish(Job& job, std::uint32_t task, Seconds now) {
   release(job, task, now);
-  job.returned.erase(task);
+  job.requeued.erase(task);
   if (job.done[task]) return;
   job.done[task] = true;
   ++job.done_count;
-  job.unrecorded_done.insert(task);
+  job.unpersisted_done.insert(task);
   // Completions of a job that goes on are gathered: one write then tells of several. A state may
   // lag by 3 s; the job's last completion is not held up by this.
-  job.chunks[job.chunk_of(task)].write(now + settings_.report_s * kGatherRatio);
+  job.shards[job.shard_of(task)].write(now + settings_.heartbeat_interval_s * kGatherRatio);
   job.failures = 0;
-  job.failed_on.clear();
+  job.failed_machines.clear();
 }
 
 Resources ClusterState::used_by(const std::string& team) const {
@@ -339,7 +347,7 @@
   statistics.run_ratio += (ratio - statistics.run_ratio) * kLearning;
 }
 
-Seconds ClusterState::memory_s() const { return settings_.cancel_s * kMemoryRatio; }
+Seconds ClusterState::memory_s() const { return settings_.cancellation_limit_s * kMemoryRatio; }
 
 void ClusterState::learn_arrival(const Job& job) {
   ClassStatistics& statistics = classes_[job.spec.job_class];
--- a/src/coordination/cluster_state.hpp
+++ b/src/coordination/cluster_state/cluster_state.hpp
@@ -13,9 +13,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "protocol/cloud.hpp"
-#include "protocol/jobs.hpp"
-#include "protocol/workers.hpp"
+#include "protocol/cloud_messages.hpp"
+#include "protocol/job_messages.hpp"
+#include "protocol/worker_messages.hpp"
 #include "settings.hpp"
 #include "storage/records.hpp"
 #include "transport/clock.hpp"
@@ -52,20 +52,20 @@
 // A task on a machine, from the moment the decision is made until it is proved to be gone.
 struct Placement {
   enum class Stage {
-    recording,  // decided; its record is not yet durable, so nothing has been sent
-    recorded,   // durable; nothing has been sent under this leader
-    launched,   // sent; the worker has not yet been heard to hold it
-    held,       // the worker reports it
+    persisting,    // decided; its record is not yet durable, so nothing has been sent
+    persisted,     // durable; nothing has been sent under this leader
+    dispatched,    // sent; the worker has not yet been heard to hold it
+    acknowledged,  // the worker reports it
   };
   std::uint32_t task = 0;
   std::uint64_t attempt = 0;
   std::string machine;
-  std::uint64_t session = 0;
-  Stage stage = Stage::recording;
+  std::uint64_t incarnation = 0;
+  Stage stage = Stage::persisting;
   TaskState state = TaskState::fetching;  // when held
   // Found in the records of an earlier leader, and not heard of since. It may be long over: that
   // leader then used its room and its part of the limits for others.
-  bool inherited = false;
+  bool recovered = false;
   bool stopping = false;
   double grace_s = 0;
   Seconds stop_sent = -1;
@@ -80,8 +80,8 @@
   Seconds retry_at = 0;
 };
 
-struct Chunk {
-  std::uint64_t mark = 0;
+struct PlacementShard {
+  std::uint64_t revision = 0;
   std::uint64_t attempt = 0;
   bool dirty = false;
   Seconds write_at = 0;  // when dirty: not before this
@@ -96,34 +96,34 @@
 
 struct Job {
   JobSpec spec;
-  std::uint64_t mark = 0;
+  std::uint64_t revision = 0;
   double submitted_at = 0;  // time of day
   Seconds submitted = 0;    // the same, by the steady clock
-  std::uint32_t chunk_tasks = 1;
+  std::uint32_t tasks_per_shard = 1;
   bool cancelled = false;
   bool cancelled_by_peer = false;  // a peer has said so; the record has not been read since
 
   std::vector<bool> done;
   std::uint32_t done_count = 0;
-  std::set<std::uint32_t> unrecorded_done;  // done, though not yet durably so
-  std::map<std::uint32_t, Placement> live;
-  std::uint32_t next_fresh = 0;      // tasks from here on have never been placed
-  std::set<std::uint32_t> returned;  // placed before, now to be placed again
-  std::map<std::uint32_t, Chunk> chunks;
-  bool busy = false;  // a transaction on its records is under way
+  std::set<std::uint32_t> unpersisted_done;  // done, though not yet durably so
+  std::map<std::uint32_t, Placement> placements;
+  std::uint32_t next_never_placed = 0;  // tasks from here on have never been placed
+  std::set<std::uint32_t> requeued;     // placed before, now to be placed again
+  std::map<std::uint32_t, PlacementShard> shards;
+  bool write_in_flight = false;  // a transaction on its records is under way
 
   // Gangs: the attempt its tasks share, and whether it has fallen apart and must end first.
   std::uint64_t gang_attempt = 0;
   bool gang_started = false;
-  bool gang_broken = false;
+  bool gang_aborting = false;
 
   Seconds retry_at = 0;  // not placed before this
   // Since a task of it last succeeded: failures in a row, and the machines that they were on.
   int failures = 0;
-  std::set<std::string> failed_on;
+  std::set<std::string> failed_machines;
   // Machines on which a task of it got past its start, two at most; none since one failed later
   // than at its start. A job with a mistake fails at its start wherever it runs.
-  std::set<std::string> started_on;
+  std::set<std::string> started_machines;
   std::map<std::uint32_t, ReplicaRestarts> restarts;  // of a service, by replica
   Seconds replica_lost_at = -1;                       // when a service last lost a replica
   Seconds last_placed_at = -1;                        // of any of its tasks; see SchedulingCycle
@@ -133,28 +133,28 @@
   const std::string& id() const { return spec.id; }
   // It fails wherever it runs, as one that was submitted with a mistake does.
   bool fails_everywhere() const {
-    return failed_on.size() >= kFailsEverywhere && started_on.empty();
+    return failed_machines.size() >= kFailsEverywhere && started_machines.empty();
   }
   // Whether a task of it got past its start on another machine.
-  bool started_beside(const std::string& machine) const;
+  bool started_elsewhere_than(const std::string& machine) const;
   void note_start(const std::string& machine);
   // For the choice of what is stopped for others: what has aged would else be stopped at once for
   // the very work that it was placed before, again and again.
-  protocol::Priority standing() const {
+  protocol::Priority effective_priority() const {
     return aged ? std::min(spec.priority, protocol::Priority::high) : spec.priority;
   }
   // Whether tasks of it have succeeded, elsewhere than on this machine if it is a service.
-  bool succeeds_beside(const std::string& machine) const;
-  std::uint32_t chunk_of(std::uint32_t task) const { return task / chunk_tasks; }
+  bool succeeds_elsewhere_than(const std::string& machine) const;
+  std::uint32_t shard_of(std::uint32_t task) const { return task / tasks_per_shard; }
   std::uint32_t waiting() const;  // tasks that want a place
-  bool over() const;              // nothing is left to run or to stop
+  bool is_finished() const;       // nothing is left to run or to stop
   std::uint32_t running() const;  // for display
 };
 
 // A direct launch that may still be carried out, late: until its answer, until the worker has seen
 // a higher token, or until the worker has begun another session.
-struct UncertainLaunch {
-  std::uint64_t token = 0;
+struct UnresolvedLaunch {
+  std::uint64_t fencing_token = 0;
   bool pending = false;  // its answer may still come
   // Not 0: the launch is in the answer to the report of this tick, under way perhaps through a
   // relay. The worker's next report shows that the answer was carried out or dropped.
@@ -167,28 +167,30 @@
   std::string type;
   std::string zone;
   bool spot = false;
-  bool heard = false;  // has reported to this leader
+  bool has_reported = false;  // has reported to this leader
   // What it reports is known to be no late copy: it has seen this leader's token, has answered
   // this leader directly, or was rented by it.
-  bool present = false;
+  bool identity_confirmed = false;
   // Since when it reports but nothing seems to reach it; -1: not so.
   Seconds unreachable_since = -1;
   Seconds inspected_at = -1;
-  std::uint64_t session = 0;
-  std::uint64_t tick = 0;
-  std::uint64_t token_seen = 0;
+  std::uint64_t incarnation = 0;
+  std::uint64_t sequence = 0;
+  std::uint64_t seen_fencing_token = 0;
   Seconds rented_at = 0;
-  Seconds heard_at = -1;     // the newest report, brought by the worker or as an answer to a call
-  Seconds reported_at = -1;  // the newest that the worker brought; at first when it was first heard
-  Seconds answered_at = -1;  // the last 200 that any leader may have given it
+  Seconds last_heartbeat_at =
+      -1;  // the newest report, brought by the worker or as an answer to a call
+  Seconds last_worker_heartbeat_at =
+      -1;  // the newest that the worker brought; at first when it was first heard
+  Seconds lease_renewed_at = -1;  // the last 200 that any leader may have given it
   Seconds listed_at = -1;
-  Seconds there_at = -1;  // it was there by then: rented, reporting, or in an earlier leader's
-                          // records
-  std::optional<Seconds> taken_at;  // from the spot notice
-  bool silent = false;              // its lease has run out unanswered; it must report anew
-  Seconds silent_since = -1;        // when that was found
-  bool returning = false;
-  int kept = 0;              // exited tasks that it may not forget yet, as of its last report
+  Seconds known_to_exist_at = -1;  // it was there by then: rented, reporting, or in an earlier
+                                   // leader's records
+  std::optional<Seconds> reclaimed_at;  // from the spot notice
+  bool lease_expired = false;           // its lease has run out unanswered; it must report anew
+  Seconds lease_expired_at = -1;        // when that was found
+  bool being_released = false;
+  int retained_exits = 0;    // exited tasks that it may not forget yet, as of its last report
   bool quarantined = false;  // every task fails on it
   // Since a task last succeeded on it: failures of jobs that are not at fault, and of which jobs.
   int failures = 0;
@@ -200,14 +202,14 @@
   Resources used;
   ResourcesByPriority used_by_priority{};
   std::set<TaskId> tasks;
-  std::map<std::pair<TaskId, std::uint64_t>, UncertainLaunch>
-      uncertain_launches;  // by task and attempt
+  std::map<std::pair<TaskId, std::uint64_t>, UnresolvedLaunch>
+      unresolved_launches;  // by task and attempt
   // Launches that this leader sent straight to the machine, and under which token. A late copy of
   // one is carried out until the worker has seen a higher token, once its task is forgotten there.
-  std::map<std::pair<TaskId, std::uint64_t>, std::uint64_t> launched;
+  std::map<std::pair<TaskId, std::uint64_t>, std::uint64_t> direct_launches;
   std::map<std::string, std::pair<double, Seconds>> images;  // size and last use, as guessed
   bool images_changed = false;                               // since they were recorded
-  protocol::Report relayed;  // the last one in whole that came by way of a relay
+  protocol::Heartbeat last_relayed_heartbeat;  // the last one in whole that came by way of a relay
 
   Resources room() const;
   // Whether work may be placed there. `patience`: how long it may be without bringing a report.
@@ -234,19 +236,20 @@
   void set_day_offset(double offset) { day_offset_ = offset; }
 
   // Jobs.
-  Job& add_job(const std::string& id, const storage::JobRecord& record, std::uint64_t mark);
+  Job& add_job(const std::string& id, const storage::JobRecord& record, std::uint64_t revision);
   Job* job(const std::string& id);
   const Job* job(const std::string& id) const;
   void remove_job(const std::string& id);
   const std::unordered_map<std::string, std::unique_ptr<Job>>& jobs() const { return jobs_; }
-  void load_chunk(Job& job, std::uint32_t chunk, const storage::ChunkRecord& record,
-                  std::uint64_t mark, std::uint64_t doubt_token, Seconds now);
+  void restore_placements(Job& job, std::uint32_t shard, const storage::PlacementRecord& record,
+                          std::uint64_t revision, std::uint64_t uncertain_fencing_token,
+                          Seconds now);
   // Whether the job was accepted under larger limits of the state service, so that a record of its
-  // placements may not hold all tasks of a chunk.
-  bool has_large_chunks(const Job& job) const;
-  // What the chunk's record may still grow by.
-  size_t record_bytes_left(const Job& job, std::uint32_t chunk) const;
-  storage::ChunkRecord chunk_record(const Job& job, std::uint32_t chunk) const;
+  // placements may not hold all tasks of a shard.
+  bool has_oversized_shards(const Job& job) const;
+  // What the shard's record may still grow by.
+  size_t record_bytes_left(const Job& job, std::uint32_t shard) const;
+  storage::PlacementRecord placement_record(const Job& job, std::uint32_t shard) const;
 
   // Machines.
   Machine& machine(const std::string& name);  // made when unknown
--- a/src/coordination/node.cpp
+++ b/src/coordination/controller/controller.cpp
@@ -1,9 +1,9 @@
-#include "coordination/node.hpp"
+#include "coordination/controller/controller.hpp"
 
 #include <algorithm>
 
 #include "log.hpp"
-#include "protocol/workers.hpp"
+#include "protocol/worker_messages.hpp"
 
 namespace larkroad::coordination {
 namespace {
@@ -31,26 +31,26 @@
 
 }  // namespace
 
-Node::Node(transport::Clock& clock, transport::Client& client, const Settings& settings)
+Controller::Controller(transport::Clock& clock, transport::Client& client, const Settings& settings)
     : clock_(clock),
       client_(client),
       settings_(settings),
-      state_(clock, client, settings),
-      catalog_(clock, client, state_, settings),
-      versions_(clock, state_, settings),
-      election_(clock, state_, settings, {[this] { take_lead(); }, [this] { leave_lead(); }}),
-      user_api_(clock, state_, catalog_, settings),
-      leader_(clock, client, state_, election_, catalog_, settings),
-      store_client_(clock, state_, settings),
+      store_(clock, client, settings),
+      catalog_(clock, client, store_, settings),
+      versions_(clock, store_, settings),
+      election_(clock, store_, settings, {[this] { take_lead(); }, [this] { leave_lead(); }}),
+      user_api_(clock, store_, catalog_, settings),
+      leader_(clock, client, store_, election_, catalog_, settings),
+      store_client_(clock, store_, settings),
       store_server_(
-          clock, state_, settings, [this] { return election_.token(); },
+          clock, store_, settings, [this] { return election_.fencing_token(); },
           [this](const protocol::RelayBatch& batch, const transport::Respond& respond) {
             relayed_by_store(batch, respond);
           }),
       relay_(clock, client, store_client_, settings),
       cancellations_(clock, client, settings) {
   user_api_.on_cancelled = [this](const std::string& id) {
-    leader_.cancelled_elsewhere(id);
+    leader_.cancelled_by_peer(id);
     cancellations_.tell(id);
   };
   user_api_.services_known = [this] { return versions_.all_understand(kServicesVersion); };
@@ -58,52 +58,53 @@
   catalog_.on_change = [this] { leader_.types_changed(); };
 }
 
-void Node::take_share(bool leads) {
+void Controller::apply_rate_limit_share(bool leads) {
   if (settings_.peers.empty()) {
-    state_.set_share(1, 1);
+    store_.set_share(1, 1);
   } else if (leads) {
-    state_.set_share(kLeaderShare, kLeaderWriteShare);
+    store_.set_share(kLeaderShare, kLeaderWriteShare);
   } else {
-    const double others = static_cast<double>(settings_.node_count()) - 1;
-    state_.set_share((1 - kLeaderShare) / others, (1 - kLeaderWriteShare) / others);
+    const double others = static_cast<double>(settings_.controller_count()) - 1;
+    store_.set_share((1 - kLeaderShare) / others, (1 - kLeaderWriteShare) / others);
   }
 }
 
-void Node::take_lead() {
-  take_share(true);
+void Controller::take_lead() {
+  apply_rate_limit_share(true);
   leader_.begin(spread_);
   store_server_.begin();
 }
 
-void Node::leave_lead() {
-  take_share(false);
+void Controller::leave_lead() {
+  apply_rate_limit_share(false);
   leader_.end();
   store_server_.end();
 }
 
-void Node::start() {
+void Controller::start() {
   election_.start();
   catalog_.start();
   versions_.start();
   tell_peers();
 }
 
-bool Node::healthy() {
-  if (!state_.answered_ever() || !catalog_.known()) return false;
-  if (state_.failing_for() < settings_.lease_s * kUnhealthyRatio) return true;
+bool Controller::healthy() {
+  if (!store_.answered_ever() || !catalog_.known()) return false;
+  if (store_.failing_for() < settings_.lease_s * kUnhealthyRatio) return true;
   // No node can be served better elsewhere when the service is down for all.
   const Seconds now = clock_.now();
-  return std::none_of(peer_serves_.begin(), peer_serves_.end(),
-                      [&](const auto& peer) { return now - peer.second < settings_.report_s; });
+  return std::none_of(peer_serves_.begin(), peer_serves_.end(), [&](const auto& peer) {
+    return now - peer.second < settings_.heartbeat_interval_s;
+  });
 }
 
-void Node::handle_client(transport::Request request, transport::Respond respond) {
-  if (request.target == protocol::kReportPath) {
+void Controller::handle_client(transport::Request request, transport::Respond respond) {
+  if (request.target == protocol::kHeartbeatPath) {
     if (request.method != "POST") {
       respond({405, protocol::encode_error("no such method here"), 0});
       return;
     }
-    checkin(std::move(request.body), std::move(respond));
+    handle_heartbeat(std::move(request.body), std::move(respond));
     return;
   }
   // What this node cannot ask the state service another one perhaps can. All of the users' calls
@@ -122,20 +123,21 @@
       });
 }
 
-const PeerSettings* Node::serving_peer() {
+const PeerSettings* Controller::serving_peer() {
   const Seconds now = clock_.now();
   for (size_t i = 0; i < settings_.peers.size(); ++i) {
     const PeerSettings& peer = settings_.peers[next_peer_++ % settings_.peers.size()];
     const auto it = peer_serves_.find(peer.member);
-    if (it != peer_serves_.end() && now - it->second < settings_.report_s * kServesRatio) {
+    if (it != peer_serves_.end() &&
+        now - it->second < settings_.heartbeat_interval_s * kServesRatio) {
       return &peer;
     }
   }
   return nullptr;
 }
 
-void Node::forward(const PeerSettings& peer, const transport::Request& request,
-                   transport::Response own, transport::Respond respond) {
+void Controller::forward(const PeerSettings& peer, const transport::Request& request,
+                         transport::Response own, transport::Respond respond) {
   const protocol::Json message{
       {"method", request.method}, {"target", request.target}, {"body", request.body}};
   client_.call(peer.addr.text(), {"POST", kUserPath, message.dump()}, kForwardWithin,
@@ -156,7 +158,7 @@
                });
 }
 
-void Node::forwarded(const std::string& body, transport::Respond respond) {
+void Controller::forwarded(const std::string& body, transport::Respond respond) {
   const auto message = protocol::parse_object(body);
   // Answered here or not at all: it is not sent on once more.
   user_api_.handle({protocol::text(message, "method"), protocol::text(message, "target"),
@@ -169,37 +171,37 @@
                    });
 }
 
-void Node::checkin(std::string body, transport::Respond respond) {
-  protocol::Report report;
+void Controller::handle_heartbeat(std::string body, transport::Respond respond) {
+  protocol::Heartbeat heartbeat;
   try {
-    report = protocol::parse_report(body);
+    heartbeat = protocol::parse_heartbeat(body);
   } catch (const std::exception& error) {
     spdlog::error("report: {}", error.what());
     respond({400, protocol::encode_error(error.what()), 0});
     return;
   }
   workers_came_at_ = clock_.now();
-  serve_report(std::move(body), std::move(report), std::move(respond),
-               clock_.now() + settings_.report_s * kLoadingRatio);
+  serve_report(std::move(body), std::move(heartbeat), std::move(respond),
+               clock_.now() + settings_.heartbeat_interval_s * kLoadingRatio);
 }
 
-bool Node::must_wait_for_loading(Seconds until) const {
+bool Controller::must_wait_for_loading(Seconds until) const {
   return leader_.loading() && clock_.now() < until;
 }
 
-void Node::after_loading_pause(std::function<void()> again) {
-  clock_.after(settings_.report_s * kLoadingRatio / 20, std::move(again));
+void Controller::after_loading_pause(std::function<void()> again) {
+  clock_.after(settings_.heartbeat_interval_s * kLoadingRatio / 20, std::move(again));
 }
 
-void Node::serve_report(std::string body, protocol::Report report, transport::Respond respond,
-                        Seconds until) {
-  election_.superseded(report.token);
+void Controller::serve_report(std::string body, protocol::Heartbeat heartbeat,
+                              transport::Respond respond, Seconds until) {
+  election_.superseded(heartbeat.fencing_token);
   if (must_wait_for_loading(until)) {
-    after_loading_pause([=, this] { serve_report(body, report, respond, until); });
+    after_loading_pause([=, this] { serve_report(body, heartbeat, respond, until); });
     return;
   }
   if (election_.may_answer_reports()) {
-    respond(leader_.checkin(report));
+    respond(leader_.handle_heartbeat(heartbeat));
     // Peers must know at once that workers stay with them from now on, or they would send on to
     // this node those that it sends to them. Past its lease it has nothing to tell, and would
     // otherwise tell it again with each report.
@@ -208,90 +210,93 @@
   }
   aim_relay();
   if ((spread_ && relay_.works()) || relay_.uses_store()) {
-    relay_.take(std::move(body), std::move(report), std::move(respond));
+    relay_.take(std::move(body), std::move(heartbeat), std::move(respond));
     return;
   }
   const std::string& leader = relay_.aimed_at();
   respond({421, protocol::encode_redirect(leader == settings_.member ? "" : leader), 0, true});
 }
 
-void Node::aim_relay() {
-  const bool told = told_at_ >= 0 && clock_.now() - told_at_ < settings_.report_s &&
-                    told_token_ > election_.leader_mark();
+void Controller::aim_relay() {
+  const bool told = told_at_ >= 0 && clock_.now() - told_at_ < settings_.heartbeat_interval_s &&
+                    told_fencing_token_ > election_.leader_revision();
   if (told) {
-    relay_.aim(told_leader_, told_token_);
+    relay_.aim(told_leader_, told_fencing_token_);
   } else {
-    relay_.aim(election_.leader(), election_.leader_mark());
+    relay_.aim(election_.leader(), election_.leader_revision());
   }
   // A leader of the first version would not look there.
-  relay_.allow_store(state_.failing_for() == 0 && versions_.all_understand(kServicesVersion));
+  relay_.allow_store(store_.failing_for() == 0 && versions_.all_understand(kServicesVersion));
 }
 
-bool Node::is_peer(const std::string& member) const {
+bool Controller::is_peer(const std::string& member) const {
   return std::any_of(settings_.peers.begin(), settings_.peers.end(),
                      [&](const PeerSettings& known) { return known.member == member; });
 }
 
-void Node::cancelled_elsewhere(const std::string& body, const transport::Respond& respond) {
+void Controller::cancelled_elsewhere(const std::string& body, const transport::Respond& respond) {
   const auto message = protocol::parse_object(body);
   const std::string member = protocol::text(message, "member");
   const std::string id = protocol::text(message, "job");
   if (!is_peer(member)) throw protocol::Malformed("a cancellation from no peer: " + member);
-  if (election_.holds() && !leader_.cancelled_elsewhere(id)) {
+  if (election_.holds() && !leader_.cancelled_by_peer(id)) {
     respond({400, protocol::encode_error("no such job here"), 0});
     return;
   }
   respond({200, "{}", 0});
 }
 
-void Node::relayed(const protocol::RelayBatch& batch, Leader::RelayRoute route,
-                   const transport::Respond& respond, Seconds until) {
+void Controller::handle_relayed_heartbeats(const protocol::RelayBatch& batch,
+                                           Leader::RelayRoute route,
+                                           const transport::Respond& respond, Seconds until) {
   if (must_wait_for_loading(until)) {
-    after_loading_pause([=, this] { relayed(batch, route, respond, until); });
+    after_loading_pause([=, this] { handle_relayed_heartbeats(batch, route, respond, until); });
     return;
   }
   if (!election_.may_answer_reports()) {
     respond({421, protocol::encode_redirect(election_.leader()), 0});
-  } else if (!leader_.is_token(batch.token)) {
-    respond({409, protocol::encode_token(election_.token()), 0});
+  } else if (!leader_.is_own_fencing_token(batch.fencing_token)) {
+    respond({409, protocol::encode_fencing_token(election_.fencing_token()), 0});
   } else {
-    respond({200, protocol::encode_batch_answers(leader_.relayed(batch, route)), 0});
+    respond(
+        {200, protocol::encode_batch_answers(leader_.handle_relayed_heartbeats(batch, route)), 0});
   }
 }
 
-void Node::relayed_by_store(const protocol::RelayBatch& batch, const transport::Respond& respond) {
+void Controller::relayed_by_store(const protocol::RelayBatch& batch,
+                                  const transport::Respond& respond) {
   if (batch.member == settings_.member) return;  // of when another one led
   if (!is_peer(batch.member)) throw protocol::Malformed("no peer: " + batch.member);
-  relayed(batch, Leader::RelayRoute::state_service, respond,
-          clock_.now() + settings_.report_s * kLoadingRatio);
+  handle_relayed_heartbeats(batch, Leader::RelayRoute::state_service, respond,
+                            clock_.now() + settings_.heartbeat_interval_s * kLoadingRatio);
 }
 
-void Node::mind_workers() {
+void Controller::step_down_if_unreachable() {
   if (!election_.leads()) return;
   const Seconds now = clock_.now();
-  const Seconds since = leader_.unheard_since();
+  const Seconds since = leader_.unreachable_by_workers_since();
   if (since < 0 || now - since < settings_.lease_s * kUnheardRatio) return;
   const bool others = std::any_of(peer_hears_.begin(), peer_hears_.end(), [&](const auto& peer) {
-    return now - peer.second < settings_.report_s;
+    return now - peer.second < settings_.heartbeat_interval_s;
   });
   if (others) {
     election_.step_down("no worker reaches it, and they reach its peers", settings_.lease_s);
   }
 }
 
-void Node::tell_peers() {
-  clock_.after(settings_.report_s * kTellRatio, [this] { tell_peers(); });
-  mind_workers();
+void Controller::tell_peers() {
+  clock_.after(settings_.heartbeat_interval_s * kTellRatio, [this] { tell_peers(); });
+  step_down_if_unreachable();
   tell_peers_now();
 }
 
-void Node::tell_peers_now() {
+void Controller::tell_peers_now() {
   aim_relay();
   protocol::Json message{{"member", settings_.member},
-                         {"served", state_.answered_ever() && state_.failing_for() == 0},
-                         {"token", election_.token()},
+                         {"served", store_.answered_ever() && store_.failing_for() == 0},
+                         {"token", election_.fencing_token()},
                          {"version", kOwnVersion}};
-  if (workers_came_at_ >= 0 && clock_.now() - workers_came_at_ < settings_.report_s) {
+  if (workers_came_at_ >= 0 && clock_.now() - workers_came_at_ < settings_.heartbeat_interval_s) {
     message["workers"] = true;
   }
   // Whom this node relays to, if it reaches them.
@@ -312,16 +317,16 @@
   const std::string body = message.dump();
   for (const auto& peer : settings_.peers) {
     client_.call(
-        peer.addr.text(), {"POST", kPeerPath, body}, settings_.report_s * kTellRatio,
+        peer.addr.text(), {"POST", kPeerPath, body}, settings_.heartbeat_interval_s * kTellRatio,
         [this, member = peer.member](transport::Outcome outcome, const transport::Response&) {
           relay_.reached(member, outcome == transport::Outcome::answered);
         });
   }
 }
 
-void Node::handle_peer(transport::Request request, transport::Respond respond) {
+void Controller::handle_peer(transport::Request request, transport::Respond respond) {
   if ((request.target != kPeerPath && request.target != kUserPath &&
-       request.target != protocol::kRelayPath && request.target != Cancellations::kPath) ||
+       request.target != protocol::kRelayPath && request.target != CancellationNotifier::kPath) ||
       request.method != "POST") {
     respond({404, "{}", 0});
     return;
@@ -336,11 +341,11 @@
       if (!is_peer(batch.member)) {
         throw protocol::Malformed("a batch from " + batch.member + ", which is no peer");
       }
-      relayed(batch, Leader::RelayRoute::direct, respond,
-              clock_.now() + settings_.report_s * kLoadingRatio);
+      handle_relayed_heartbeats(batch, Leader::RelayRoute::direct, respond,
+                                clock_.now() + settings_.heartbeat_interval_s * kLoadingRatio);
       return;
     }
-    if (request.target == Cancellations::kPath) {
+    if (request.target == CancellationNotifier::kPath) {
       cancelled_elsewhere(request.body, respond);
       return;
     }
@@ -352,24 +357,26 @@
   }
 }
 
-void Node::peer_told(const std::string& body) {
+void Controller::peer_told(const std::string& body) {
   const auto message = protocol::parse_object(body);
   const std::string member = protocol::text(message, "member");
-  const std::uint64_t token = protocol::integer(message, "token");
+  const std::uint64_t fencing_token = protocol::integer(message, "token");
   const bool names_version = protocol::find(message, "version") != nullptr;
-  versions_.heard(member, names_version ? protocol::integer(message, "version") : kFirstVersion);
+  versions_.peer_reported(member,
+                          names_version ? protocol::integer(message, "version") : kFirstVersion);
   if (protocol::boolean(message, "served")) {
     peer_serves_[member] = clock_.now();
     if (protocol::find(message, "workers") != nullptr) peer_hears_[member] = clock_.now();
   }
-  election_.superseded(token);
+  election_.superseded(fencing_token);
   if (const auto* to = protocol::find(message, "relays_to"); to != nullptr && election_.holds()) {
     if (*to == settings_.member) leader_.relay_assignment().relays(member, clock_.now());
   }
-  if (protocol::find(message, "spread") != nullptr && !election_.leads() && token >= told_token_) {
+  if (protocol::find(message, "spread") != nullptr && !election_.leads() &&
+      fencing_token >= told_fencing_token_) {
     spread_ = protocol::boolean(message, "spread");
     told_leader_ = member;
-    told_token_ = token;
+    told_fencing_token_ = fencing_token;
     told_at_ = clock_.now();
   }
   const auto* jobs = protocol::find(message, "jobs");
--- a/src/coordination/node.hpp
+++ b/src/coordination/controller/controller.hpp
@@ -1,23 +1,23 @@
 // One controller: everything it runs, wired together, and what it tells the others.
 #pragma once
 
-#include "coordination/cancellations.hpp"
-#include "coordination/catalog.hpp"
-#include "coordination/election.hpp"
-#include "coordination/leader.hpp"
-#include "coordination/member_versions.hpp"
-#include "coordination/relay.hpp"
-#include "coordination/store_relay.hpp"
-#include "coordination/user_api.hpp"
+#include "coordination/api/user_api.hpp"
+#include "coordination/election/election.hpp"
+#include "coordination/leader/leader.hpp"
+#include "coordination/membership/cancellation_notifier.hpp"
+#include "coordination/membership/member_versions.hpp"
+#include "coordination/relay/relay.hpp"
+#include "coordination/relay/store_relay.hpp"
+#include "coordination/scaling/machine_catalog.hpp"
 #include "settings.hpp"
-#include "storage/state_client.hpp"
+#include "storage/key_value_client.hpp"
 #include "transport/http.hpp"
 
 namespace larkroad::coordination {
 
-class Node {
+class Controller {
  public:
-  Node(transport::Clock& clock, transport::Client& client, const Settings& settings);
+  Controller(transport::Clock& clock, transport::Client& client, const Settings& settings);
   void start();
 
   // Users, workers and the load balancer.
@@ -32,16 +32,16 @@
 
  private:
   // Takes this node's part of the state service's limits.
-  void take_share(bool leads);
-  void checkin(std::string body, transport::Respond respond);
-  void serve_report(std::string body, protocol::Report report, transport::Respond respond,
+  void apply_rate_limit_share(bool leads);
+  void handle_heartbeat(std::string body, transport::Respond respond);
+  void serve_report(std::string body, protocol::Heartbeat heartbeat, transport::Respond respond,
                     Seconds until);
   void take_lead();
   void leave_lead();
   // A batch that came by way of the state service.
   void relayed_by_store(const protocol::RelayBatch& batch, const transport::Respond& respond);
-  void relayed(const protocol::RelayBatch& batch, Leader::RelayRoute route,
-               const transport::Respond& respond, Seconds until);
+  void handle_relayed_heartbeats(const protocol::RelayBatch& batch, Leader::RelayRoute route,
+                                 const transport::Respond& respond, Seconds until);
   // A leader that still reads the records has its workers wait for that a little.
   bool must_wait_for_loading(Seconds until) const;
   void after_loading_pause(std::function<void()> again);
@@ -50,7 +50,7 @@
   void peer_told(const std::string& body);
   bool is_peer(const std::string& member) const;
   // A leader that no worker reaches any more, while they reach its peers, makes way.
-  void mind_workers();
+  void step_down_if_unreachable();
   void tell_peers();
   void tell_peers_now();
   // Points the relay at whoever leads, by the state service or by what a peer said of itself.
@@ -66,8 +66,8 @@
   transport::Clock& clock_;
   transport::Client& client_;
   const Settings& settings_;
-  storage::StateClient state_;
-  Catalog catalog_;
+  storage::KeyValueClient store_;
+  MachineCatalog catalog_;
   MemberVersions versions_;
   Election election_;
   UserApi user_api_;
@@ -75,10 +75,10 @@
   StoreRelayClient store_client_;
   StoreRelayServer store_server_;
   Relay relay_;
-  Cancellations cancellations_;
+  CancellationNotifier cancellations_;
   // The newest leader that a peer has said to be, and when.
   std::string told_leader_;
-  std::uint64_t told_token_ = 0;
+  std::uint64_t told_fencing_token_ = 0;
   Seconds told_at_ = -1;
   bool spread_ = false;       // as the leader last said, see RelayAssignment
   bool told_spread_ = false;  // what this node last said of it, when leading
--- a/src/coordination/election.cpp
+++ b/src/coordination/election/election.cpp
@@ -1,4 +1,4 @@
-#include "coordination/election.hpp"
+#include "coordination/election/election.hpp"
 
 #include <algorithm>
 
@@ -26,20 +26,20 @@
 
 }  // namespace
 
-Election::Election(transport::Clock& clock, storage::StateClient& state, const Settings& settings,
-                   Events events)
+Election::Election(transport::Clock& clock, storage::KeyValueClient& store,
+                   const Settings& settings, Events events)
     : clock_(clock),
-      state_(state),
+      store_(store),
       settings_(settings),
       events_(std::move(events)),
       life_(settings.lease_s * kLeaseRatio),
-      retention_(std::max(
-          0.0, settings.cancel_s - settings.lease_s * (1 + kRetentionMargin + 2 * kDrift))) {}
+      retention_(std::max(0.0, settings.cancellation_limit_s -
+                                   settings.lease_s * (1 + kRetentionMargin + 2 * kDrift))) {}
 
 void Election::start() { look(); }
 
 bool Election::holds_lease() const {
-  return token_ != 0 && clock_.now() < renewed_at_ + life_ * (1 - kDrift) - kTimerStep;
+  return fencing_token_ != 0 && clock_.now() < renewed_at_ + life_ * (1 - kDrift) - kTimerStep;
 }
 
 bool Election::leads() const {
@@ -49,24 +49,24 @@
 bool Election::may_answer_reports() const {
   if (leads()) return true;
   // A cancellation that this leader does not know came after both of these.
-  return token_ != 0 && viewed_at_ &&
+  return fencing_token_ != 0 && viewed_at_ &&
          clock_.now() < std::min(renewed_at_, *viewed_at_) + retention_ * (1 - kDrift);
 }
 
 void Election::view_proved(Seconds sent) {
-  if (token_ == 0) return;
+  if (fencing_token_ == 0) return;
   viewed_at_ = std::max(viewed_at_.value_or(sent), sent);
 }
 
 Seconds Election::view_interval() const { return life_ * kViewRatio; }
 
 void Election::look() {
-  state_.get(
+  store_.get(
       storage::kLeaderKey,
       [this](Status status, storage::Entry entry) {
         if (status == Status::ok) {
-          watched_to_ = std::max(watched_to_, entry.mark);
-          saw(entry.mark, entry.data);
+          watched_to_ = std::max(watched_to_, entry.revision);
+          saw(entry.revision, entry.data);
           watch();
         } else if (status == Status::missing) {
           saw_none();
@@ -75,22 +75,22 @@
           clock_.after(life_ * kRetryRatio, [this] { look(); });
         }
       },
-      storage::Use::lease);
+      storage::RequestPriority::lease);
 }
 
 void Election::watch() {
   // Short blocks: a watch that a cut swallowed must not hide a change of leader for long.
-  state_.watch(storage::kLeaderKey, watched_to_, life_, [this](storage::WatchReply reply) {
+  store_.watch(storage::kLeaderKey, watched_to_, life_, [this](storage::WatchReply reply) {
     if (reply.status == Status::ok) {
       watched_to_ = std::max(watched_to_, reply.revision);
       if (!reply.events.empty()) {
         const auto& last = reply.events.back();
-        if (last.dropped) {
+        if (last.deleted) {
           saw_none();
         } else {
-          saw(last.mark, last.data);
+          saw(last.revision, last.data);
         }
-      } else if (leader_.empty() && token_ == 0) {
+      } else if (leader_.empty() && fencing_token_ == 0) {
         campaign(0);
       }
       watch();
@@ -104,51 +104,51 @@
   });
 }
 
-void Election::saw(std::uint64_t mark, const storage::Json& data) {
-  if (mark < leader_mark_) return;
-  leader_mark_ = mark;
+void Election::saw(std::uint64_t revision, const storage::Json& data) {
+  if (revision < leader_revision_) return;
+  leader_revision_ = revision;
   leader_ = protocol::text(data, "member");
-  if (token_ != 0) {
+  if (fencing_token_ != 0) {
     const bool mine = leader_ == settings_.member && protocol::integer(data, "lease") == lease_;
-    if (!mine && mark > token_) lose("a newer leader holds the key: " + leader_);
+    if (!mine && revision > fencing_token_) lose("a newer leader holds the key: " + leader_);
     return;
   }
   if (leader_ == settings_.member && !campaigning_) {
     // A key of this member's earlier life: that process has ended, so nobody else can act on it.
-    campaign(mark);
+    campaign(revision);
   }
 }
 
 void Election::saw_none() {
   leader_.clear();
-  if (token_ != 0) {
+  if (fencing_token_ != 0) {
     lose("the key is gone");
   }
   campaign(0);
 }
 
-void Election::campaign(std::uint64_t replaced_mark) {
-  if (campaigning_ || token_ != 0) return;
+void Election::campaign(std::uint64_t replaced_revision) {
+  if (campaigning_ || fencing_token_ != 0) return;
   if (clock_.now() < abstains_until_) return;  // the watch brings the next chance
   campaigning_ = true;
   grant_sent_ = clock_.now();
-  state_.grant(life_, [this, replaced_mark](Status status, std::uint64_t lease) {
+  store_.grant(life_, [this, replaced_revision](Status status, std::uint64_t lease) {
     if (status != Status::ok) {
       campaigning_ = false;
       return;  // the watch brings the next chance
     }
     lease_ = lease;
-    write_key(replaced_mark);
+    write_key(replaced_revision);
   });
 }
 
-void Election::write_key(std::uint64_t replaced_mark) {
+void Election::write_key(std::uint64_t replaced_revision) {
   storage::Transaction txn;
-  txn.guards.push_back({storage::kLeaderKey, replaced_mark});
+  txn.preconditions.push_back({storage::kLeaderKey, replaced_revision});
   txn.writes.push_back(
       {storage::kLeaderKey, {{"member", settings_.member}, {"lease", lease_}}, lease_});
   const auto wanted = [this] { return clock_.now() < grant_sent_ + life_; };
-  state_.settle(
+  store_.commit_until_certain(
       std::move(txn), wanted,
       [this](storage::CommitReply reply) {
         campaigning_ = false;
@@ -158,21 +158,21 @@
         }
         // Lost, or not known and the lease has run out: a late copy of this write then fails for
         // want of its lease, or makes a key that ends with it.
-        state_.release(lease_);
+        store_.release(lease_);
         lease_ = 0;
       },
-      storage::Use::lease);
+      storage::RequestPriority::lease);
 }
 
-void Election::won(std::uint64_t mark) {
+void Election::won(std::uint64_t revision) {
   ++epoch_;
-  token_ = mark;
+  fencing_token_ = revision;
   renewed_at_ = grant_sent_;
   viewed_at_.reset();
   renewing_since_ = -1;
   leader_ = settings_.member;
-  leader_mark_ = std::max(leader_mark_, mark);
-  spdlog::info("leads with token {}", token_);
+  leader_revision_ = std::max(leader_revision_, revision);
+  spdlog::info("leads with token {}", fencing_token_);
   events_.elected();
   clock_.after(life_ * kRenewRatio, [this, epoch = epoch_] {
     if (epoch == epoch_) renew();
@@ -180,10 +180,10 @@
 }
 
 void Election::renew() {
-  if (token_ == 0) return;
+  if (fencing_token_ == 0) return;
   const Seconds sent = clock_.now();
-  state_.extend(lease_, [this, sent, epoch = epoch_](Status status) {
-    if (epoch != epoch_ || token_ == 0) return;
+  store_.extend(lease_, [this, sent, epoch = epoch_](Status status) {
+    if (epoch != epoch_ || fencing_token_ == 0) return;
     if (status == Status::missing) {
       lose("its lease has ended");
       campaign(0);
@@ -225,17 +225,17 @@
   if (confirming_) return;
   confirming_ = true;
   const Seconds sent = clock_.now();
-  state_.get(
+  store_.get(
       storage::kLeaderKey,
       [this, sent, epoch = epoch_](Status status, storage::Entry entry) {
         confirming_ = false;
-        if (epoch != epoch_ || token_ == 0) return;
-        if (status == Status::ok && entry.mark == token_) {
+        if (epoch != epoch_ || fencing_token_ == 0) return;
+        if (status == Status::ok && entry.revision == fencing_token_) {
           // The read proves the key was there after `sent`, and the lease was renewed before
           // it.
-          state_.extend(lease_, [this, sent, epoch](Status renewed) {
-            if (epoch != epoch_ || token_ == 0 || renewed != Status::ok) return;
-            spdlog::info("leads again with token {}", token_);
+          store_.extend(lease_, [this, sent, epoch](Status renewed) {
+            if (epoch != epoch_ || fencing_token_ == 0 || renewed != Status::ok) return;
+            spdlog::info("leads again with token {}", fencing_token_);
             renewed_at_ = std::max(renewed_at_, sent);
           });
         } else if (status == Status::ok || status == Status::missing) {
@@ -243,59 +243,60 @@
           if (status == Status::missing) campaign(0);
         }
       },
-      storage::Use::lease);
+      storage::RequestPriority::lease);
 }
 
 void Election::lose(const std::string& why) {
-  if (token_ == 0) return;
-  spdlog::info("no longer leads with token {}: {}", token_, why);
+  if (fencing_token_ == 0) return;
+  spdlog::info("no longer leads with token {}: {}", fencing_token_, why);
   ++epoch_;
-  token_ = 0;
+  fencing_token_ = 0;
   raising_ = false;
   if (leader_ == settings_.member) leader_.clear();
-  if (lease_ != 0) state_.release(lease_);
+  if (lease_ != 0) store_.release(lease_);
   lease_ = 0;
   events_.deposed();
 }
 
 void Election::resign(const std::string& why) {
-  if (token_ == 0) return;
+  if (fencing_token_ == 0) return;
   lose(why);
 }
 
 void Election::step_down(const std::string& why, Seconds abstain) {
-  if (token_ == 0) return;
+  if (fencing_token_ == 0) return;
   abstains_until_ = clock_.now() + abstain;
   lose(why);
 }
 
-void Election::superseded(std::uint64_t token) {
-  if (token_ == 0 || token <= token_) return;
-  lose("a newer token has been seen: " + std::to_string(token));
+void Election::superseded(std::uint64_t fencing_token) {
+  if (fencing_token_ == 0 || fencing_token <= fencing_token_) return;
+  lose("a newer token has been seen: " + std::to_string(fencing_token));
 }
 
-void Election::raise_token() {
+void Election::raise_fencing_token() {
   if (!holds_lease() || raising_) return;
   raising_ = true;
   storage::Transaction txn;
-  txn.guards.push_back({storage::kLeaderKey, token_});
-  txn.writes.push_back({storage::kLeaderKey,
-                        {{"member", settings_.member}, {"lease", lease_}, {"raised", token_}},
-                        lease_});
-  state_.settle(
-      std::move(txn), [this, epoch = epoch_] { return epoch == epoch_ && token_ != 0; },
+  txn.preconditions.push_back({storage::kLeaderKey, fencing_token_});
+  txn.writes.push_back(
+      {storage::kLeaderKey,
+       {{"member", settings_.member}, {"lease", lease_}, {"raised", fencing_token_}},
+       lease_});
+  store_.commit_until_certain(
+      std::move(txn), [this, epoch = epoch_] { return epoch == epoch_ && fencing_token_ != 0; },
       [this, epoch = epoch_](storage::CommitReply reply) {
-        if (epoch != epoch_ || token_ == 0) return;
+        if (epoch != epoch_ || fencing_token_ == 0) return;
         raising_ = false;
         if (reply.status == Status::ok) {
-          spdlog::info("raised its token from {} to {}", token_, reply.revision);
-          token_ = reply.revision;
-          leader_mark_ = std::max(leader_mark_, token_);
+          spdlog::info("raised its token from {} to {}", fencing_token_, reply.revision);
+          fencing_token_ = reply.revision;
+          leader_revision_ = std::max(leader_revision_, fencing_token_);
         } else if (reply.status == Status::conflict) {
           lose("the key has changed");
         }
       },
-      storage::Use::lease);
+      storage::RequestPriority::lease);
 }
 
 }  // namespace larkroad::coordination
--- a/src/coordination/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -1,4 +1,4 @@
-#include "coordination/leader.hpp"
+#include "coordination/leader/leader.hpp"
 
 #include <algorithm>
 
@@ -23,20 +23,20 @@
 
 }  // namespace
 
-Leader::Leader(transport::Clock& clock, transport::Client& client, storage::StateClient& state,
-               Election& election, Catalog& catalog, const Settings& settings)
+Leader::Leader(transport::Clock& clock, transport::Client& client, storage::KeyValueClient& store,
+               Election& election, MachineCatalog& catalog, const Settings& settings)
     : clock_(clock),
       client_(client),
-      state_(state),
+      store_(store),
       election_(election),
       catalog_(catalog),
       settings_(settings),
-      transaction_changes_(settings.lasting_state_limits().txn_ops),
+      transaction_changes_(settings.lasting_store_limits().max_transaction_changes),
       cluster_(settings),
       relay_assignment_(settings) {}
 
 void Leader::later(Seconds delay, std::function<void()> fn) {
-  clock_.after(delay, guarded(std::move(fn)));
+  clock_.after(delay, if_still_leading(std::move(fn)));
 }
 
 void Leader::begin(bool spread) {
@@ -45,17 +45,17 @@
   ready_ = false;
   loading_ = true;
   begun_at_ = clock_.now();
-  first_token_ = election_.token();
+  first_fencing_token_ = election_.fencing_token();
   cluster_.clear();
   cluster_.set_day_offset(clock_.unix_time() - clock_.now());
-  holds_.clear();
-  refusals_.clear();
+  gang_reservations_.clear();
+  capacity_backoff_.clear();
   loaded_placements_.clear();
   loaded_images_.clear();
   recording_images_ = false;
   garbage_.clear();
   finished_.clear();
-  gone_machines_.clear();
+  removed_machines_.clear();
   pending_rentals_.clear();
   rentals_ = 0;
   listing_ = false;
@@ -66,7 +66,7 @@
   queued_commands_.clear();
   sending_armed_ = false;
   lag_.reset();
-  next_tick_ = kNoLimit;
+  next_periodic_run_ = kNoLimit;
   fence_wanted_ = false;
   fenced_at_ = begun_at_;
   watched_to_ = 0;
@@ -79,48 +79,49 @@
   ready_ = false;
   loading_ = false;
   cluster_.clear();
-  holds_.clear();
+  gang_reservations_.clear();
 }
 
 void Leader::types_changed() {
   if (ready_) cluster_.set_types(catalog_.types());
 }
 
-void Leader::tick() {
+void Leader::run_periodic_tasks() {
   const Seconds now = clock_.now();
-  lag_.fired(next_tick_, now);
-  next_tick_ = now + settings_.report_s * kTickRatio;
-  later(settings_.report_s * kTickRatio, [this] { tick(); });
+  lag_.fired(next_periodic_run_, now);
+  next_periodic_run_ = now + settings_.heartbeat_interval_s * kRetryRatio;
+  later(settings_.heartbeat_interval_s * kRetryRatio, [this] { run_periodic_tasks(); });
   if (!election_.leads()) return;
   std::vector<std::string> silent;
   for (auto& [name, machine] : cluster_.machines()) {
-    if (machine.silent || machine.answered_at < 0) continue;
+    if (machine.lease_expired || machine.lease_renewed_at < 0) continue;
     // Its worker ends every task by then, and begins a new session when it can be heard again.
-    if (now > machine.answered_at + settings_.lease_s * (1 + kDrift) + settings_.report_s / 10) {
+    if (now > machine.lease_renewed_at + settings_.lease_s * (1 + kDrift) +
+                  settings_.heartbeat_interval_s / 10) {
       silent.push_back(name);
     }
   }
   for (const auto& name : silent) {
     Machine& machine = *cluster_.find_machine(name);
-    machine.silent = true;
-    machine.silent_since = now;
+    machine.lease_expired = true;
+    machine.lease_expired_at = now;
     spdlog::info("machine {} is silent: its lease is over", name);
-    end_sessions(machine, machine.session + 1);
+    end_sessions(machine, machine.incarnation + 1);
   }
   check_unreachable_machines();
   relay_assignment_.count(listed_once_ ? std::optional(cluster_.machines().size()) : std::nullopt,
                           now);
   for (const auto& [id, job] : cluster_.jobs()) {
-    if (job->busy) continue;
-    sync(*job);
-    if (!job->busy) shrink_chunks(*job);
+    if (job->write_in_flight) continue;
+    persist(*job);
+    if (!job->write_in_flight) shrink_shards(*job);
   }
   if (fence_wanted_ && now - fenced_at_ > settings_.lease_s / 4) {
     fence_wanted_ = false;
     fenced_at_ = now;
-    election_.raise_token();
+    election_.raise_fencing_token();
   }
-  if (!holds_.all().empty() || plan_from_ != 0) request_plan();
+  if (!gang_reservations_.all().empty() || plan_from_ != 0) request_plan();
   for (const auto& [id, job] : cluster_.jobs()) {
     if (job->waiting() > 0) {
       request_plan();
@@ -132,7 +133,8 @@
 void Leader::request_plan() {
   if (plan_armed_ || !ready_) return;
   plan_armed_ = true;
-  const Seconds pause = std::max(settings_.report_s * kPlanDelayRatio, plan_next_ - clock_.now());
+  const Seconds pause =
+      std::max(settings_.heartbeat_interval_s * kPlanDelayRatio, plan_next_ - clock_.now());
   later(pause, [this] {
     plan_armed_ = false;
     make_plan();
@@ -142,30 +144,30 @@
 void Leader::make_plan() {
   if (!ready_ || !election_.leads()) return;
   const Seconds begun = clock_.now();
-  PlanLimits limits;
-  limits.hold_s = settings_.operators.hold_s;
+  CycleLimits limits;
+  limits.reservation_limit_s = settings_.operators.reservation_limit_s;
   limits.start_bound_s = settings_.operators.start_bound_s;
   limits.start_at = plan_from_;
-  limits.defers_low = lag_.lag() > settings_.report_s * kOverloadRatio;
+  limits.defers_low = lag_.lag() > settings_.heartbeat_interval_s * kOverloadRatio;
   limits.out_of_time = [this, begun] {
-    return clock_.now() - begun > settings_.report_s * kTickRatio * kPlanBudgetRatio;
+    return clock_.now() - begun > settings_.heartbeat_interval_s * kRetryRatio * kPlanBudgetRatio;
   };
-  const Plan decided = plan(cluster_, holds_, begun, limits);
+  const Plan decided = plan(cluster_, gang_reservations_, begun, limits);
   plan_from_ = decided.stopped_at;
   for (const auto& assignment : decided.assignments) carry_out(assignment, limits.start_bound_s);
   for (const auto& victim : decided.preemptions) {
     Job* job = cluster_.job(victim.job);
     if (job == nullptr) continue;
-    const auto it = job->live.find(victim.task);
-    if (it == job->live.end() || it->second.stage != Placement::Stage::held) continue;
+    const auto it = job->placements.find(victim.task);
+    if (it == job->placements.end() || it->second.stage != Placement::Stage::acknowledged) continue;
     spdlog::info("task {}/{} gives way to {}", victim.job, victim.task, victim.for_job);
     stop(*job, it->second, victim.save ? grace(*job) : 0);
   }
   for (const auto& move : decided.moves) {
     Job* job = cluster_.job(move.job);
-    if (job == nullptr || !job->live.contains(move.task)) continue;
+    if (job == nullptr || !job->placements.contains(move.task)) continue;
     spdlog::info("replica {}/{} leaves machine {}", move.job, move.task, move.from);
-    stop(*job, job->live.at(move.task), job->spec.checkpoint_s > 0 ? grace(*job) : 0);
+    stop(*job, job->placements.at(move.task), job->spec.checkpoint_s > 0 ? grace(*job) : 0);
   }
   ++activity_.planning_rounds;
   activity_.planning_time += clock_.now() - begun;
@@ -176,9 +178,9 @@
 void Leader::carry_out(const Assignment& assignment, Seconds start_bound) {
   Job* job = cluster_.job(assignment.job);
   if (job == nullptr) return;
-  if (job->spec.is_gang() && job->live.empty()) {
-    for (const auto& [number, chunk] : job->chunks) {
-      job->gang_attempt = std::max(job->gang_attempt, chunk.attempt);
+  if (job->spec.is_gang() && job->placements.empty()) {
+    for (const auto& [number, shard] : job->shards) {
+      job->gang_attempt = std::max(job->gang_attempt, shard.attempt);
     }
     ++job->gang_attempt;
   }
@@ -186,22 +188,22 @@
   for (const auto& [task, machine] : assignment.tasks) place_assigned(*job, task, machine);
   spdlog::debug("job {}: {} tasks placed, first on {}", job->id(), assignment.tasks.size(),
                 assignment.tasks.front().second);
-  sync(*job);
+  persist(*job);
 }
 
 void Leader::place_assigned(Job& job, std::uint32_t task, const std::string& name) {
   const Seconds now = clock_.now();
-  const std::uint32_t number = job.chunk_of(task);
+  const std::uint32_t number = job.shard_of(task);
   const std::uint64_t attempt =
-      job.spec.is_gang() ? job.gang_attempt : job.chunks[number].attempt + 1;
+      job.spec.is_gang() ? job.gang_attempt : job.shards[number].attempt + 1;
   cluster_.place(job, task, cluster_.machine(name), attempt, now);
   // The planner reckons with common lengths of names and numbers; what does not fit after all would
   // keep the whole record from being written.
-  if (cluster_.has_large_chunks(job) && cluster_.record_bytes_left(job, number) == 0) {
+  if (cluster_.has_oversized_shards(job) && cluster_.record_bytes_left(job, number) == 0) {
     cluster_.unplace(job, task, now);
     return;
   }
-  job.chunks[number].write(now);
+  job.shards[number].write(now);
 }
 
 }  // namespace larkroad::coordination
--- a/src/coordination/leader.hpp
+++ b/src/coordination/leader/leader.hpp
@@ -9,25 +9,25 @@
 #include <string>
 #include <vector>
 
-#include "coordination/catalog.hpp"
-#include "coordination/cluster_state.hpp"
-#include "coordination/election.hpp"
-#include "coordination/fleet.hpp"
-#include "coordination/lag_meter.hpp"
-#include "coordination/planner.hpp"
-#include "coordination/relay_assignment.hpp"
-#include "coordination/user_api.hpp"
-#include "protocol/relay.hpp"
-#include "protocol/workers.hpp"
-#include "storage/state_client.hpp"
+#include "coordination/api/user_api.hpp"
+#include "coordination/cluster_state/cluster_state.hpp"
+#include "coordination/election/election.hpp"
+#include "coordination/leader/lag_meter.hpp"
+#include "coordination/relay/relay_assignment.hpp"
+#include "coordination/scaling/autoscaler.hpp"
+#include "coordination/scaling/machine_catalog.hpp"
+#include "coordination/scheduling/scheduler.hpp"
+#include "protocol/relay_messages.hpp"
+#include "protocol/worker_messages.hpp"
+#include "storage/key_value_client.hpp"
 #include "transport/http.hpp"
 
 namespace larkroad::coordination {
 
 class Leader {
  public:
-  Leader(transport::Clock& clock, transport::Client& client, storage::StateClient& state,
-         Election& election, Catalog& catalog, const Settings& settings);
+  Leader(transport::Clock& clock, transport::Client& client, storage::KeyValueClient& store,
+         Election& election, MachineCatalog& catalog, const Settings& settings);
 
   void begin(
       bool spread);  // elected: reads everything, then works; see RelayAssignment for `spread`
@@ -38,23 +38,25 @@
   // A cancellation that is durable, told by the node that made it so: the watch will bring it too,
   // but that may take long, and a leader that the state service refuses would not hear of it in
   // time. False when the job is not known here.
-  bool cancelled_elsewhere(const std::string& id);
+  bool cancelled_by_peer(const std::string& id);
 
   // How a batch came. A relay that cannot reach the leader reaches none of the nodes to which its
   // workers could be sent on either.
   enum class RelayRoute { direct, state_service };
   // A worker's report, when this node may answer for the leader; `via`: the node that relays it,
   // empty when it came here.
-  transport::Response checkin(const protocol::Report& report, const std::string& via = "",
-                              RelayRoute route = RelayRoute::direct);
+  transport::Response handle_heartbeat(const protocol::Heartbeat& heartbeat,
+                                       const std::string& via = "",
+                                       RelayRoute route = RelayRoute::direct);
   // The reports that a relay hands on, and the answers for their workers.
-  std::vector<protocol::RelayedAnswer> relayed(const protocol::RelayBatch& batch, RelayRoute route);
+  std::vector<protocol::RelayedAnswer> handle_relayed_heartbeats(const protocol::RelayBatch& batch,
+                                                                 RelayRoute route);
   // Whether a batch for the leader with this token is for this leadership.
-  bool is_token(std::uint64_t token) const;
+  bool is_own_fencing_token(std::uint64_t fencing_token) const;
   RelayAssignment& relay_assignment() { return relay_assignment_; }
   // Whether machines that reported are not heard any more, all of them at once: -1 when not, else
   // since when.
-  Seconds unheard_since() const;
+  Seconds unreachable_by_workers_since() const;
 
   std::unordered_map<std::string, UserApi::Progress> progress() const;
 
@@ -62,11 +64,11 @@
   using Commands = std::vector<protocol::Command>;
 
   // Loops and retries, as a part of the workers' report interval.
-  static constexpr double kTickRatio = 1.0 / 10;
+  static constexpr double kRetryRatio = 1.0 / 10;
 
   // Callbacks of an earlier leadership must not touch the present one.
   template <typename Fn>
-  auto guarded(Fn fn) {
+  auto if_still_leading(Fn fn) {
     return [this, epoch = epoch_, fn = std::move(fn)](auto&&... args) {
       if (epoch == epoch_) fn(std::forward<decltype(args)>(args)...);
     };
@@ -79,46 +81,46 @@
   void load_images(const std::string& after);
   void loaded();
   void watch_jobs();
-  void apply_job(const std::string& id, const storage::Json& data, std::uint64_t mark);
+  void apply_job(const std::string& id, const storage::Json& data, std::uint64_t revision);
   void refresh_job(const std::string& id);
 
   // Jobs and their records.
   void cancel_job(Job& job);
-  void sync(Job& job);
-  void synced(const std::string& id, const std::vector<std::uint32_t>& chunks,
-              const std::vector<storage::PlacedTask>& recorded,
-              const std::vector<std::uint32_t>& done, const storage::CommitReply& reply);
+  void persist(Job& job);
+  void persisted(const std::string& id, const std::vector<std::uint32_t>& shards,
+                 const std::vector<storage::PlacedTask>& recorded,
+                 const std::vector<std::uint32_t>& done, const storage::CommitReply& reply);
   void finish_job(Job& job);
   // Lays out the records of a job anew that was accepted under larger limits of the state service.
-  void shrink_chunks(Job& job);
-  void chunks_shrunk(Job& job, std::uint32_t chunk_tasks, std::uint64_t revision);
-  void refused_as_too_large(Job& job, const std::vector<std::uint32_t>& chunks);
+  void shrink_shards(Job& job);
+  void shards_shrunk(Job& job, std::uint32_t tasks_per_shard, std::uint64_t revision);
+  void handle_size_refusal(Job& job, const std::vector<std::uint32_t>& shards);
   void drop_garbage();
   void record_images();
-  void gone(Job& job, std::uint32_t task, const std::string& why);
+  void task_gone(Job& job, std::uint32_t task, const std::string& why);
 
   // Workers.
   // Where a report comes from: brought by its worker, or as the answer to this leader's own call.
   enum class From { worker, call };
-  Commands process(const protocol::Report& report, From from);
-  void begin_session(Machine& machine, const protocol::Report& report);
-  void first_heard(Machine& machine, const protocol::Report& report);
-  void update_machine(Machine& machine, const protocol::Report& report, From from);
-  void process_tasks(Machine& machine, const protocol::Report& report, From from,
+  Commands process(const protocol::Heartbeat& heartbeat, From from);
+  void begin_session(Machine& machine, const protocol::Heartbeat& heartbeat);
+  void first_heard(Machine& machine, const protocol::Heartbeat& heartbeat);
+  void update_machine(Machine& machine, const protocol::Heartbeat& heartbeat, From from);
+  void process_tasks(Machine& machine, const protocol::Heartbeat& heartbeat, From from,
                      Commands& commands);
-  void process_task(Machine& machine, const protocol::TaskReport& task, Commands& commands);
-  bool may_forget(Machine& machine, const protocol::TaskReport& task);
-  void exited(Machine& machine, Job& job, const protocol::TaskReport& task);
+  void process_task(Machine& machine, const protocol::TaskStatus& task, Commands& commands);
+  bool may_forget(Machine& machine, const protocol::TaskStatus& task);
+  void exited(Machine& machine, Job& job, const protocol::TaskStatus& task);
   void failed(Machine& machine, Job& job, const Placement& placement);
   void blame(Machine& machine, Job& job);
   static void quarantine(Machine& machine);
   void back_off(Job& job);
-  void replica_runs(Machine& machine, Job& job, Placement& replica);
+  void replica_proven_running(Machine& machine, Job& job, Placement& replica);
   void replica_ended(Job& job, const Placement& replica);
   void absent(Machine& machine, Job& job, Placement& placement, From from, Commands& commands);
   double grace(const Job& job) const;
   void stop(Job& job, Placement& placement, double grace_s);
-  void break_gang(Job& job, const std::string& why);
+  void abort_gang_attempt(Job& job, const std::string& why);
   // Commands straight to a worker. Those for one machine that come within a moment go in one call.
   void queue_commands(const std::string& machine, const Commands& commands);
   void send_queued_commands();
@@ -130,35 +132,35 @@
                        int status);
   void launch(Job& job, const std::vector<std::uint32_t>& tasks);
   void inspect(Machine& machine);
-  void want_fence(const UncertainLaunch& doubt);
+  void want_fence(const UnresolvedLaunch& doubt);
   void suspect_unreachable(Machine& machine);
   void reached_again(Machine& machine);
   void check_unreachable_machines();
-  void end_sessions(Machine& machine, std::uint64_t session);
+  void end_sessions(Machine& machine, std::uint64_t incarnation);
   void all_gone(Machine& machine, const std::string& why);
-  void machine_gone(const std::string& name, const std::string& why);
-  void drain(Machine& machine, double notice_s);
+  void remove_machine(const std::string& name, const std::string& why);
+  void drain(Machine& machine, double reclaim_notice_s);
 
   // Loops.
-  void tick();
+  void run_periodic_tasks();
   void request_plan();
   void make_plan();
   void carry_out(const Assignment& assignment, Seconds start_bound);
   void place_assigned(Job& job, std::uint32_t task, const std::string& machine);
-  void fleet_round();
+  void scale();
   void log_use();
   void list_machines();
   void list_page(const std::string& after, Seconds begun);
   void listed(Seconds begun);
-  void rent(const Market& market, int count);
-  void send_rental(const protocol::RentalRequest& request);
-  void give_back(const std::vector<std::string>& names);
+  void request_machines(const Market& market, int count);
+  void send_rental_request(const protocol::RentalRequest& request);
+  void release_machines(const std::vector<std::string>& names);
 
   transport::Clock& clock_;
   transport::Client& client_;
-  storage::StateClient& state_;
+  storage::KeyValueClient& store_;
   Election& election_;
-  Catalog& catalog_;
+  MachineCatalog& catalog_;
   const Settings& settings_;
 
   // How many changes the state service takes in one transaction, as far as is known.
@@ -168,11 +170,11 @@
   bool loading_ = false;
   Seconds loading_since_ = 0;  // when the first page of the jobs was asked for
   Seconds begun_at_ = 0;
-  std::uint64_t first_token_ = 0;  // of this leadership, before it was ever raised
+  std::uint64_t first_fencing_token_ = 0;  // of this leadership, before it was ever raised
   Seconds ready_at_ = 0;
   ClusterState cluster_;
-  GangHolds holds_;
-  Refusals refusals_;
+  GangReservations gang_reservations_;
+  CapacityBackoff capacity_backoff_;
   RelayAssignment relay_assignment_;
   std::uint64_t watched_to_ = 0;
   std::vector<storage::Entry> loaded_placements_;
@@ -182,7 +184,7 @@
   std::map<std::string, std::uint64_t> finished_;
   bool dropping_ = false;
   bool recording_images_ = false;
-  std::map<std::string, Seconds> gone_machines_;  // known to be gone, though lists lag
+  std::map<std::string, Seconds> removed_machines_;  // known to be gone, though lists lag
   std::map<Market, int> pending_rentals_;
   std::uint64_t rentals_ = 0;
   bool listing_ = false;
@@ -195,20 +197,20 @@
   Seconds fenced_at_ = 0;
   // Commands that are about to be sent, by machine, and the session that they are for.
   struct QueuedCommands {
-    std::uint64_t session = 0;
+    std::uint64_t incarnation = 0;
     Commands commands;
   };
   std::map<std::string, QueuedCommands> queued_commands_;
   bool sending_armed_ = false;
   // How late the loop of ticks runs: what the process is behind with its work.
   LagMeter lag_;
-  Seconds next_tick_ = 0;
+  Seconds next_periodic_run_ = 0;
   // What the leader did since the last line on the use of the fleet; for that line alone.
   struct Activity {
     int planning_rounds = 0;
     Seconds planning_time = 0;
     Seconds fleet_time = 0;
-    size_t reports = 0;
+    size_t heartbeats = 0;
     size_t direct_calls = 0;
     size_t reported_tasks = 0;
   };
--- a/src/coordination/leader_records.cpp
+++ b/src/coordination/leader/leader_records.cpp
@@ -1,7 +1,7 @@
 // Jobs and their records.
 #include <algorithm>
 
-#include "coordination/leader.hpp"
+#include "coordination/leader/leader.hpp"
 #include "log.hpp"
 
 namespace larkroad::coordination {
@@ -20,129 +20,131 @@
 void Leader::cancel_job(Job& job) {
   if (!job.cancelled) spdlog::info("job {} is cancelled", job.id());
   job.cancelled = true;
-  holds_.release(job.id());
-  std::vector<std::uint32_t> unsent;
+  gang_reservations_.release(job.id());
+  std::vector<std::uint32_t> never_sent;
   std::vector<std::uint32_t> sent;
-  for (auto& [task, placement] : job.live) {
-    if (placement.stage == Placement::Stage::recording) {
+  for (auto& [task, placement] : job.placements) {
+    if (placement.stage == Placement::Stage::persisting) {
       // While its transaction is under way the answer decides; it can no longer succeed unless
       // it came before the cancellation, and then nothing is launched.
-      if (!job.busy) unsent.push_back(task);
+      if (!job.write_in_flight) never_sent.push_back(task);
     } else {
       sent.push_back(task);
     }
   }
-  for (const auto task : unsent) cluster_.unplace(job, task, clock_.now());
+  for (const auto task : never_sent) cluster_.unplace(job, task, clock_.now());
   for (const auto task : sent) {
-    const auto it = job.live.find(task);
-    if (it != job.live.end()) stop(job, it->second, 0);
+    const auto it = job.placements.find(task);
+    if (it != job.placements.end()) stop(job, it->second, 0);
   }
-  sync(job);
+  persist(job);
 }
 
-void Leader::sync(Job& job) {
-  if (job.busy || !ready_ || !election_.leads()) return;
-  if (job.over() && job.cancelled_by_peer) {
-    job.busy = true;  // until its record has been read: nothing is written by hearsay
+void Leader::persist(Job& job) {
+  if (job.write_in_flight || !ready_ || !election_.leads()) return;
+  if (job.is_finished() && job.cancelled_by_peer) {
+    job.write_in_flight = true;  // until its record has been read: nothing is written by hearsay
     refresh_job(job.id());
     return;
   }
-  if (job.over()) {
+  if (job.is_finished()) {
     finish_job(job);
     return;
   }
   storage::Transaction txn;
-  txn.guards.push_back({storage::kLeaderKey, election_.token()});
-  txn.guards.push_back({storage::job_key(job.id()), job.mark});
-  std::vector<std::uint32_t> chunks;
+  txn.preconditions.push_back({storage::kLeaderKey, election_.fencing_token()});
+  txn.preconditions.push_back({storage::job_key(job.id()), job.revision});
+  std::vector<std::uint32_t> shards;
   std::vector<storage::PlacedTask> recorded;
   std::vector<std::uint32_t> done;
   size_t bytes = 0;
-  const double value_bytes = settings_.lasting_state_limits().value_bytes();
-  for (auto& [number, chunk] : job.chunks) {
-    if (!chunk.dirty || clock_.now() < chunk.write_at) continue;
-    if (static_cast<int>(chunks.size()) >= transaction_changes_ ||
+  const double value_bytes = settings_.lasting_store_limits().value_bytes();
+  for (auto& [number, shard] : job.shards) {
+    if (!shard.dirty || clock_.now() < shard.write_at) continue;
+    if (static_cast<int>(shards.size()) >= transaction_changes_ ||
         bytes > transport::kBodyLimit / 2) {
       break;
     }
     const std::string key = storage::placement_key(job.id(), number);
-    storage::Json record = storage::encode(cluster_.chunk_record(job, number));
+    storage::Json record = storage::encode(cluster_.placement_record(job, number));
     const size_t size = storage::encoded_size(record);
     if (static_cast<double>(size) > value_bytes) {
       // Only of a job that was accepted under larger limits. What has ended stays on the workers
       // until it is recorded, and the record becomes smaller with each end.
-      chunk.write_at = clock_.now() + settings_.report_s * kTooLargeRatio;
+      shard.write_at = clock_.now() + settings_.heartbeat_interval_s * kTooLargeRatio;
       continue;
     }
-    txn.guards.push_back({key, chunk.mark});
+    txn.preconditions.push_back({key, shard.revision});
     txn.writes.push_back({key, std::move(record), std::nullopt});
     bytes += size + key.size() + 64;
-    chunks.push_back(number);
-    chunk.dirty = false;
-    const std::uint32_t first = number * job.chunk_tasks;
-    const std::uint32_t end = first + job.chunk_tasks;
-    for (auto p = job.live.lower_bound(first); p != job.live.end() && p->first < end; ++p) {
-      if (p->second.stage == Placement::Stage::recording) {
-        recorded.push_back({p->first, p->second.attempt, p->second.machine, p->second.session});
+    shards.push_back(number);
+    shard.dirty = false;
+    const std::uint32_t first = number * job.tasks_per_shard;
+    const std::uint32_t end = first + job.tasks_per_shard;
+    for (auto p = job.placements.lower_bound(first); p != job.placements.end() && p->first < end;
+         ++p) {
+      if (p->second.stage == Placement::Stage::persisting) {
+        recorded.push_back({p->first, p->second.attempt, p->second.machine, p->second.incarnation});
       }
     }
-    for (auto d = job.unrecorded_done.lower_bound(first);
-         d != job.unrecorded_done.end() && *d < end; ++d) {
+    for (auto d = job.unpersisted_done.lower_bound(first);
+         d != job.unpersisted_done.end() && *d < end; ++d) {
       done.push_back(*d);
     }
   }
-  if (chunks.empty()) return;
-  job.busy = true;
-  const bool low = job.standing() == protocol::Priority::low;
-  state_.settle(
+  if (shards.empty()) return;
+  job.write_in_flight = true;
+  const bool low = job.effective_priority() == protocol::Priority::low;
+  store_.commit_until_certain(
       std::move(txn), [this, epoch = epoch_] { return epoch == epoch_; },
-      guarded([this, id = job.id(), chunks, recorded, done](const storage::CommitReply& reply) {
-        synced(id, chunks, recorded, done, reply);
-      }),
-      low ? storage::Use::bulk : storage::Use::work);
+      if_still_leading(
+          [this, id = job.id(), shards, recorded, done](const storage::CommitReply& reply) {
+            persisted(id, shards, recorded, done, reply);
+          }),
+      low ? storage::RequestPriority::bulk : storage::RequestPriority::scheduling);
 }
 
-void Leader::synced(const std::string& id, const std::vector<std::uint32_t>& chunks,
-                    const std::vector<storage::PlacedTask>& recorded,
-                    const std::vector<std::uint32_t>& done, const storage::CommitReply& reply) {
+void Leader::persisted(const std::string& id, const std::vector<std::uint32_t>& shards,
+                       const std::vector<storage::PlacedTask>& recorded,
+                       const std::vector<std::uint32_t>& done, const storage::CommitReply& reply) {
   Job* job = cluster_.job(id);
   if (job == nullptr) return;
-  job->busy = false;
+  job->write_in_flight = false;
   if (reply.status != Status::ok) {
-    for (const auto number : chunks) job->chunks[number].dirty = true;  // at once, as before
-    if (reply.status == Status::conflict && reply.failed_on(storage::job_key(id))) {
-      job->busy = true;  // until its record has been read again
+    for (const auto number : shards) job->shards[number].dirty = true;  // at once, as before
+    if (reply.status == Status::conflict && reply.failed_machines(storage::job_key(id))) {
+      job->write_in_flight = true;  // until its record has been read again
       refresh_job(id);
       return;
     }
-    if (reply.status == Status::conflict && reply.failed_on(storage::kLeaderKey)) {
+    if (reply.status == Status::conflict && reply.failed_machines(storage::kLeaderKey)) {
       // Either this node raised its own token meanwhile, or it no longer leads and will hear so.
-      later(settings_.report_s * kTickRatio, [this, id] {
-        if (Job* again = cluster_.job(id)) sync(*again);
+      later(settings_.heartbeat_interval_s * kRetryRatio, [this, id] {
+        if (Job* again = cluster_.job(id)) persist(*again);
       });
       return;
     }
     if (reply.status == Status::invalid) {
-      refused_as_too_large(*job, chunks);
+      handle_size_refusal(*job, shards);
       return;
     }
     spdlog::error("records of {} could not be written", id);
     election_.resign("a record is not what this leader wrote");
     return;
   }
-  for (const auto number : chunks) job->chunks[number].mark = reply.revision;
-  for (const auto task : done) job->unrecorded_done.erase(task);
+  for (const auto number : shards) job->shards[number].revision = reply.revision;
+  for (const auto task : done) job->unpersisted_done.erase(task);
   std::vector<std::uint32_t> launches;
   for (const auto& written : recorded) {
     // A task of a gang may have been placed elsewhere meanwhile, with the same attempt: that place
     // is not what has become durable.
-    const auto it = job->live.find(written.task);
-    if (it == job->live.end() || it->second.stage != Placement::Stage::recording ||
+    const auto it = job->placements.find(written.task);
+    if (it == job->placements.end() || it->second.stage != Placement::Stage::persisting ||
         it->second.attempt != written.attempt || it->second.machine != written.machine ||
-        it->second.session != written.session) {
+        it->second.incarnation != written.incarnation) {
       continue;
     }
-    it->second.stage = Placement::Stage::recorded;
+    it->second.stage = Placement::Stage::persisted;
     launches.push_back(written.task);
   }
   if (job->cancelled) {
@@ -153,47 +155,47 @@
   if (job->spec.is_gang()) {
     // All starts go in one round, once every record of the gang is durable.
     launches.clear();
-    for (const auto& [task, placement] : job->live) {
-      if (placement.stage == Placement::Stage::recording) {
-        sync(*job);
+    for (const auto& [task, placement] : job->placements) {
+      if (placement.stage == Placement::Stage::persisting) {
+        persist(*job);
         return;
       }
       // What an earlier leader placed is not launched anew as it stands; see absent().
-      if (placement.stage == Placement::Stage::recorded && !placement.stopping &&
-          !placement.inherited) {
+      if (placement.stage == Placement::Stage::persisted && !placement.stopping &&
+          !placement.recovered) {
         launches.push_back(task);
       }
     }
   }
   if (!launches.empty() && election_.leads()) launch(*job, launches);
-  sync(*job);
+  persist(*job);
   request_plan();
 }
 
 void Leader::finish_job(Job& job) {
   storage::Transaction txn;
-  txn.guards.push_back({storage::kLeaderKey, election_.token()});
-  txn.guards.push_back({storage::job_key(job.id()), job.mark});
+  txn.preconditions.push_back({storage::kLeaderKey, election_.fencing_token()});
+  txn.preconditions.push_back({storage::job_key(job.id()), job.revision});
   // A cancelled job stays cancelled, even if its last task was done before it could be stopped:
   // its user has been told.
   txn.writes.push_back({storage::finished_key(job.id()),
                         storage::encode(storage::FinishedRecord{job.cancelled, job.spec.tasks}),
                         std::nullopt});
-  txn.drops.push_back(storage::job_key(job.id()));
+  txn.deletes.push_back(storage::job_key(job.id()));
   std::vector<std::string> rest;
-  for (const auto& [number, chunk] : job.chunks) {
-    if (chunk.mark == 0) continue;
+  for (const auto& [number, shard] : job.shards) {
+    if (shard.revision == 0) continue;
     const std::string key = storage::placement_key(job.id(), number);
     if (static_cast<int>(txn.changes()) < transaction_changes_) {
-      txn.drops.push_back(key);
+      txn.deletes.push_back(key);
     } else {
       rest.push_back(key);
     }
   }
-  job.busy = true;
-  state_.settle(
+  job.write_in_flight = true;
+  store_.commit_until_certain(
       std::move(txn), [this, epoch = epoch_] { return epoch == epoch_; },
-      guarded([this, id = job.id(), rest](const storage::CommitReply& reply) {
+      if_still_leading([this, id = job.id(), rest](const storage::CommitReply& reply) {
         Job* job = cluster_.job(id);
         if (job == nullptr) return;
         if (reply.status == Status::ok) {
@@ -205,25 +207,26 @@
           request_plan();
           return;
         }
-        if (reply.status == Status::conflict && reply.failed_on(storage::job_key(id))) {
+        if (reply.status == Status::conflict && reply.failed_machines(storage::job_key(id))) {
           refresh_job(id);
           return;
         }
         const bool refused = reply.status == Status::invalid;
-        if (refused) refused_as_too_large(*job, {});
-        later(settings_.report_s * (refused ? kRefusedReports : kTickRatio), [this, id] {
-          Job* again = cluster_.job(id);
-          if (again == nullptr) return;
-          again->busy = false;
-          sync(*again);
-        });
+        if (refused) handle_size_refusal(*job, {});
+        later(settings_.heartbeat_interval_s * (refused ? kRefusedReports : kRetryRatio),
+              [this, id] {
+                Job* again = cluster_.job(id);
+                if (again == nullptr) return;
+                again->write_in_flight = false;
+                persist(*again);
+              });
       }));
 }
 
 // The service takes less than its limits say. Its answer is certain: nothing was carried out. The
 // next transactions are smaller; a single record that is refused is tried again now and then, as
 // the others of its job must not wait for it.
-void Leader::refused_as_too_large(Job& job, const std::vector<std::uint32_t>& chunks) {
+void Leader::handle_size_refusal(Job& job, const std::vector<std::uint32_t>& shards) {
   if (transaction_changes_ > 1) {
     transaction_changes_ = std::max(1, transaction_changes_ / 2);
     spdlog::error("state service refuses a transaction of {}: {} changes in one from now on",
@@ -231,67 +234,69 @@
     return;
   }
   spdlog::error("state service refuses a record of {}", job.id());
-  for (const auto number : chunks) {
-    job.chunks[number].write_at = clock_.now() + settings_.report_s * kRefusedReports;
+  for (const auto number : shards) {
+    job.shards[number].write_at = clock_.now() + settings_.heartbeat_interval_s * kRefusedReports;
   }
 }
 
 // Only while nothing of the job is placed and none of its tasks is done: each record then says the
 // same whatever range of tasks it is taken for, so that the job's own record is all that changes.
 // A controller of the first version reads it like any other.
-void Leader::shrink_chunks(Job& job) {
-  if (!cluster_.has_large_chunks(job) || !job.live.empty() || job.done_count > 0 || job.cancelled ||
-      !ready_ || !election_.leads()) {
+void Leader::shrink_shards(Job& job) {
+  if (!cluster_.has_oversized_shards(job) || !job.placements.empty() || job.done_count > 0 ||
+      job.cancelled || !ready_ || !election_.leads()) {
     return;
   }
-  const StateLimits limits = settings_.lasting_state_limits();
-  const std::uint32_t chunk_tasks = storage::tasks_per_chunk(limits.value_kb);
-  const storage::JobRecord record{job.spec, job.submitted_at, chunk_tasks, false};
+  const StoreLimits limits = settings_.lasting_store_limits();
+  const std::uint32_t tasks_per_shard = storage::max_tasks_per_shard(limits.value_kb);
+  const storage::JobRecord record{job.spec, job.submitted_at, tasks_per_shard, false};
   if (!storage::can_be_cancelled_within(record, limits.value_bytes())) return;
   storage::Transaction txn;
-  txn.guards.push_back({storage::kLeaderKey, election_.token()});
-  txn.guards.push_back({storage::job_key(job.id()), job.mark});
+  txn.preconditions.push_back({storage::kLeaderKey, election_.fencing_token()});
+  txn.preconditions.push_back({storage::job_key(job.id()), job.revision});
   txn.writes.push_back({storage::job_key(job.id()), storage::encode(record), std::nullopt});
-  job.busy = true;
-  state_.settle(
+  job.write_in_flight = true;
+  store_.commit_until_certain(
       std::move(txn), [this, epoch = epoch_] { return epoch == epoch_; },
-      guarded([this, id = job.id(), chunk_tasks](const storage::CommitReply& reply) {
+      if_still_leading([this, id = job.id(), tasks_per_shard](const storage::CommitReply& reply) {
         Job* shrunk = cluster_.job(id);
         if (shrunk == nullptr) return;
-        if (reply.status == Status::conflict && reply.failed_on(storage::job_key(id))) {
+        if (reply.status == Status::conflict && reply.failed_machines(storage::job_key(id))) {
           refresh_job(id);
           return;
         }
-        shrunk->busy = false;
-        if (reply.status == Status::ok) chunks_shrunk(*shrunk, chunk_tasks, reply.revision);
-        sync(*shrunk);
+        shrunk->write_in_flight = false;
+        if (reply.status == Status::ok) shards_shrunk(*shrunk, tasks_per_shard, reply.revision);
+        persist(*shrunk);
         request_plan();
       }));
 }
 
-void Leader::chunks_shrunk(Job& job, std::uint32_t chunk_tasks, std::uint64_t revision) {
-  spdlog::info("job {}: {} tasks share a record from now on", job.id(), chunk_tasks);
-  job.chunk_tasks = chunk_tasks;
-  job.mark = revision;
+void Leader::shards_shrunk(Job& job, std::uint32_t tasks_per_shard, std::uint64_t revision) {
+  spdlog::info("job {}: {} tasks share a record from now on", job.id(), tasks_per_shard);
+  job.tasks_per_shard = tasks_per_shard;
+  job.revision = revision;
 }
 
 void Leader::drop_garbage() {
   if (dropping_ || garbage_.empty() || !election_.leads()) return;
   dropping_ = true;
   storage::Transaction txn;
-  txn.guards.push_back({storage::kLeaderKey, election_.token()});
+  txn.preconditions.push_back({storage::kLeaderKey, election_.fencing_token()});
   while (!garbage_.empty() && static_cast<int>(txn.changes()) < transaction_changes_) {
-    txn.drops.push_back(std::move(garbage_.back()));
+    txn.deletes.push_back(std::move(garbage_.back()));
     garbage_.pop_back();
   }
-  state_.commit(txn, guarded([this, keys = txn.drops](const storage::CommitReply& reply) {
+  store_.commit(txn,
+                if_still_leading([this, keys = txn.deletes](const storage::CommitReply& reply) {
                   dropping_ = false;
                   if (reply.status != Status::ok)
                     garbage_.insert(garbage_.end(), keys.begin(), keys.end());
                   // What is left of jobs that are over has no hurry.
-                  if (!garbage_.empty()) later(settings_.report_s, [this] { drop_garbage(); });
+                  if (!garbage_.empty())
+                    later(settings_.heartbeat_interval_s, [this] { drop_garbage(); });
                 }),
-                storage::Use::help);
+                storage::RequestPriority::background);
 }
 
 // What machines hold outlives a leader only for the sake of speed: it is written when nothing
@@ -300,7 +305,7 @@
   if (recording_images_ || !election_.leads()) return;
   storage::Transaction txn;
   std::vector<std::string> names;
-  txn.guards.push_back({storage::kLeaderKey, election_.token()});
+  txn.preconditions.push_back({storage::kLeaderKey, election_.fencing_token()});
   for (auto& [name, machine] : cluster_.machines()) {
     if (!machine.images_changed) continue;
     if (static_cast<int>(txn.changes()) >= transaction_changes_) break;
@@ -311,7 +316,7 @@
     std::sort(by_use.begin(), by_use.end());
     storage::Images images;
     for (auto& [used, image] : by_use) images.push_back(std::move(image));
-    const double value_bytes = settings_.lasting_state_limits().value_bytes();
+    const double value_bytes = settings_.lasting_store_limits().value_bytes();
     while (images.size() > 1 && !storage::fits_value(storage::encode(images), value_bytes)) {
       images.erase(images.begin());
     }
@@ -321,7 +326,7 @@
   }
   if (names.empty()) return;
   recording_images_ = true;
-  state_.commit(txn, guarded([this, names](const storage::CommitReply& reply) {
+  store_.commit(txn, if_still_leading([this, names](const storage::CommitReply& reply) {
                   recording_images_ = false;
                   if (reply.status == Status::ok) return;
                   for (const auto& name : names) {
@@ -329,33 +334,33 @@
                       machine->images_changed = true;
                   }
                 }),
-                storage::Use::help);
+                storage::RequestPriority::background);
 }
 
-void Leader::gone(Job& job, std::uint32_t task, const std::string& why) {
+void Leader::task_gone(Job& job, std::uint32_t task, const std::string& why) {
   spdlog::info("task {}/{} is gone: {}", job.id(), task, why);
-  const auto it = job.live.find(task);
+  const auto it = job.placements.find(task);
   const bool gang = job.spec.is_gang() && job.spec.tasks > 1;
-  const bool fell_apart = gang && job.gang_started && it != job.live.end();
+  const bool fell_apart = gang && job.gang_started && it != job.placements.end();
   cluster_.unplace(job, task, clock_.now());
-  if (fell_apart) break_gang(job, why);
-  if (job.cancelled && job.over()) sync(job);
+  if (fell_apart) abort_gang_attempt(job, why);
+  if (job.cancelled && job.is_finished()) persist(job);
   request_plan();
 }
 
-void Leader::break_gang(Job& job, const std::string& why) {
-  if (job.live.empty() || job.cancelled) return;
-  if (!job.gang_broken) spdlog::info("gang {} ends its attempt: {}", job.id(), why);
-  job.gang_broken = true;
-  std::vector<std::uint32_t> unsent;
-  for (auto& [task, placement] : job.live) {
-    if (placement.stage == Placement::Stage::recording && !job.busy) {
-      unsent.push_back(task);
-    } else if (placement.stage != Placement::Stage::recording) {
+void Leader::abort_gang_attempt(Job& job, const std::string& why) {
+  if (job.placements.empty() || job.cancelled) return;
+  if (!job.gang_aborting) spdlog::info("gang {} ends its attempt: {}", job.id(), why);
+  job.gang_aborting = true;
+  std::vector<std::uint32_t> never_sent;
+  for (auto& [task, placement] : job.placements) {
+    if (placement.stage == Placement::Stage::persisting && !job.write_in_flight) {
+      never_sent.push_back(task);
+    } else if (placement.stage != Placement::Stage::persisting) {
       stop(job, placement, 0);
     }
   }
-  for (const auto task : unsent) cluster_.unplace(job, task, clock_.now());
+  for (const auto task : never_sent) cluster_.unplace(job, task, clock_.now());
 }
 
 }  // namespace larkroad::coordination
--- a/src/coordination/cancellations.cpp
+++ b/src/coordination/membership/cancellation_notifier.cpp
@@ -1,4 +1,4 @@
-#include "coordination/cancellations.hpp"
+#include "coordination/membership/cancellation_notifier.hpp"
 
 #include "protocol/json.hpp"
 
@@ -12,14 +12,14 @@
 
 }  // namespace
 
-void Cancellations::tell(const std::string& id) {
+void CancellationNotifier::tell(const std::string& id) {
   for (const auto& peer : settings_.peers) {
-    outboxes_[peer.member].notices.push_back({id, clock_.now() + settings_.cancel_s});
+    outboxes_[peer.member].notices.push_back({id, clock_.now() + settings_.cancellation_limit_s});
     send(peer);
   }
 }
 
-void Cancellations::send(const PeerSettings& peer) {
+void CancellationNotifier::send(const PeerSettings& peer) {
   Outbox& outbox = outboxes_[peer.member];
   if (outbox.under_way) return;
   while (!outbox.notices.empty() && outbox.notices.front().until < clock_.now()) {
@@ -28,12 +28,13 @@
   if (outbox.notices.empty()) return;
   outbox.under_way = true;
   const protocol::Json message{{"member", settings_.member}, {"job", outbox.notices.front().id}};
-  client_.call(peer.addr.text(), {"POST", kPath, message.dump()}, settings_.report_s * kAnswerRatio,
+  client_.call(peer.addr.text(), {"POST", kPath, message.dump()},
+               settings_.heartbeat_interval_s * kAnswerRatio,
                [this, &peer, &outbox](transport::Outcome outcome, const transport::Response&) {
                  // Any answer will do: one that does not know the job has nothing to stop.
                  const bool answered = outcome == transport::Outcome::answered;
                  if (answered) outbox.notices.pop_front();
-                 clock_.after(answered ? 0 : settings_.report_s * kAgainRatio,
+                 clock_.after(answered ? 0 : settings_.heartbeat_interval_s * kAgainRatio,
                               [this, &peer, &outbox] {
                                 outbox.under_way = false;
                                 send(peer);
--- a/src/coordination/cancellations.hpp
+++ b/src/coordination/membership/cancellation_notifier.hpp
@@ -14,11 +14,11 @@
 
 using transport::Seconds;
 
-class Cancellations {
+class CancellationNotifier {
  public:
   static constexpr const char* kPath = "/cancelled";
 
-  Cancellations(transport::Clock& clock, transport::Client& client, const Settings& settings)
+  CancellationNotifier(transport::Clock& clock, transport::Client& client, const Settings& settings)
       : clock_(clock), client_(client), settings_(settings) {}
 
   void tell(const std::string& id);
--- a/src/coordination/member_versions.cpp
+++ b/src/coordination/membership/member_versions.cpp
@@ -1,4 +1,4 @@
-#include "coordination/member_versions.hpp"
+#include "coordination/membership/member_versions.hpp"
 
 #include <algorithm>
 
@@ -16,9 +16,9 @@
 
 }  // namespace
 
-MemberVersions::MemberVersions(transport::Clock& clock, storage::StateClient& state,
+MemberVersions::MemberVersions(transport::Clock& clock, storage::KeyValueClient& store,
                                const Settings& settings)
-    : clock_(clock), state_(state), settings_(settings) {}
+    : clock_(clock), store_(store), settings_(settings) {}
 
 void MemberVersions::start() {
   heard_[settings_.member] = kOwnVersion;
@@ -26,7 +26,7 @@
   read_all();
 }
 
-void MemberVersions::heard(const std::string& member, RecordVersion version) {
+void MemberVersions::peer_reported(const std::string& member, RecordVersion version) {
   RecordVersion& known = heard_[member];
   if (known == version) return;
   known = version;
@@ -47,23 +47,23 @@
 }
 
 void MemberVersions::record_own() {
-  state_.get(storage::version_key(settings_.member), [this](Status status, storage::Entry entry) {
+  store_.get(storage::version_key(settings_.member), [this](Status status, storage::Entry entry) {
     if (status == Status::missing) {
       write_own(0);
     } else if (status != Status::ok) {
       clock_.after(settings_.lease_s * kRetryRatio, [this] { record_own(); });
     } else if (storage::decode_version(entry.data) != kOwnVersion) {
-      write_own(entry.mark);
+      write_own(entry.revision);
     }
   });
 }
 
-void MemberVersions::write_own(std::uint64_t replaced_mark) {
+void MemberVersions::write_own(std::uint64_t replaced_revision) {
   const std::string key = storage::version_key(settings_.member);
   storage::Transaction txn;
-  txn.guards.push_back({key, replaced_mark});
+  txn.preconditions.push_back({key, replaced_revision});
   txn.writes.push_back({key, storage::encode_version(kOwnVersion), std::nullopt});
-  state_.commit(txn, [this](const storage::CommitReply& reply) {
+  store_.commit(txn, [this](const storage::CommitReply& reply) {
     if (reply.status == Status::ok) return;
     clock_.after(settings_.lease_s * kRetryRatio, [this] { record_own(); });
   });
@@ -72,11 +72,11 @@
 void MemberVersions::read_all() {
   if (reading_ || all_understand(kOwnVersion)) return;
   reading_ = true;
-  state_.list(storage::kVersionPrefix, "", [this](const storage::ListReply& reply) {
+  store_.list(storage::kVersionPrefix, "", [this](const storage::ListReply& reply) {
     if (reply.status == Status::ok) {
       for (const auto& entry : reply.entries) {
         const std::string member = entry.key.substr(std::string(storage::kVersionPrefix).size());
-        recorded_[member] = {storage::decode_version(entry.data), entry.mark};
+        recorded_[member] = {storage::decode_version(entry.data), entry.revision};
         drop_outdated(member);
       }
     }
@@ -97,11 +97,11 @@
   spdlog::error("controller {} has come back with an earlier version", member);
   const std::string key = storage::version_key(member);
   storage::Transaction txn;
-  txn.guards.push_back({key, recorded->second.mark});
-  txn.drops.push_back(key);
+  txn.preconditions.push_back({key, recorded->second.revision});
+  txn.deletes.push_back(key);
   recorded_.erase(recorded);
-  state_.commit(
-      txn, [](const storage::CommitReply&) {}, storage::Use::help);
+  store_.commit(
+      txn, [](const storage::CommitReply&) {}, storage::RequestPriority::background);
 }
 
 }  // namespace larkroad::coordination
--- a/src/coordination/member_versions.hpp
+++ b/src/coordination/membership/member_versions.hpp
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "settings.hpp"
-#include "storage/state_client.hpp"
+#include "storage/key_value_client.hpp"
 #include "transport/clock.hpp"
 
 namespace larkroad::coordination {
@@ -23,31 +23,31 @@
 
 class MemberVersions {
  public:
-  MemberVersions(transport::Clock& clock, storage::StateClient& state, const Settings& settings);
+  MemberVersions(transport::Clock& clock, storage::KeyValueClient& store, const Settings& settings);
 
   // Records this controller's own version and reads those of the others.
   void start();
   // A peer has said which version it runs, just now.
-  void heard(const std::string& member, RecordVersion version);
+  void peer_reported(const std::string& member, RecordVersion version);
   // Whether every controller of the settings is known to understand this version. What a peer says
   // itself counts before what is recorded of it: a process may come back with an earlier version.
   bool all_understand(RecordVersion version) const;
 
  private:
   void record_own();
-  void write_own(std::uint64_t replaced_mark);
+  void write_own(std::uint64_t replaced_revision);
   // Until all controllers are known to understand this version.
   void read_all();
   void drop_outdated(const std::string& member);
 
   transport::Clock& clock_;
-  storage::StateClient& state_;
+  storage::KeyValueClient& store_;
   const Settings& settings_;
   bool reading_ = false;
   std::map<std::string, RecordVersion> heard_;
   struct Recorded {
     RecordVersion version = kFirstVersion;
-    std::uint64_t mark = 0;
+    std::uint64_t revision = 0;
   };
   std::map<std::string, Recorded> recorded_;
 };
--- a/src/coordination/relay.cpp
+++ b/src/coordination/relay/relay.cpp
@@ -1,10 +1,10 @@
-#include "coordination/relay.hpp"
+#include "coordination/relay/relay.hpp"
 
 #include <algorithm>
 #include <memory>
 
 #include "log.hpp"
-#include "protocol/jobs.hpp"
+#include "protocol/job_messages.hpp"
 
 namespace larkroad::coordination {
 namespace {
@@ -33,14 +33,14 @@
 
 }  // namespace
 
-Relay::Relay(transport::Clock& clock, transport::Client& client, StoreRelayClient& store,
+Relay::Relay(transport::Clock& clock, transport::Client& client, StoreRelayClient& store_relay,
              const Settings& settings)
-    : clock_(clock), client_(client), store_(store), settings_(settings) {
+    : clock_(clock), client_(client), store_relay_(store_relay), settings_(settings) {
   forget_old();
 }
 
-void Relay::aim(const std::string& member, std::uint64_t token) {
-  token_ = token;
+void Relay::aim(const std::string& member, std::uint64_t fencing_token) {
+  fencing_token_ = fencing_token;
   if (member == leader_) return;
   leader_ = member;
   endpoint_.clear();
@@ -63,16 +63,16 @@
 
 bool Relay::works() const {
   return !endpoint_.empty() && reached_at_ >= 0 &&
-         clock_.now() - reached_at_ < settings_.report_s * kReachedReports;
+         clock_.now() - reached_at_ < settings_.heartbeat_interval_s * kReachedReports;
 }
 
 void Relay::give_up(const Waiting& item) {
   item.respond({503, protocol::encode_error("the leader cannot be asked at present"), 0, true});
 }
 
-void Relay::take(std::string words, protocol::Report report, transport::Respond respond) {
+void Relay::take(std::string payload, protocol::Heartbeat heartbeat, transport::Respond respond) {
   const Seconds within = uses_store() ? kStoreAnswerWithin : kAnswerWithin;
-  Waiting item{std::move(words), std::move(report), std::move(respond), clock_.now() + within,
+  Waiting item{std::move(payload), std::move(heartbeat), std::move(respond), clock_.now() + within,
                false};
   // No more than there can be workers connected: what a relay holds is bounded.
   if (queue_.size() >= static_cast<size_t>(settings_.sockets)) {
@@ -86,7 +86,8 @@
 void Relay::arm() {
   if (armed_ || queue_.empty() || !may_send()) return;
   armed_ = true;
-  const Seconds gather = uses_store() ? store_.gather_time() : settings_.report_s * kGatherRatio;
+  const Seconds gather =
+      uses_store() ? store_relay_.gather_time() : settings_.heartbeat_interval_s * kGatherRatio;
   clock_.after(gather, [this] {
     armed_ = false;
     send();
@@ -98,7 +99,7 @@
   while (!queue_.empty() && may_send()) {
     Items items;
     size_t bytes = 0;
-    const size_t most = uses_store() ? store_.batch_bytes() : kBatchBytes;
+    const size_t most = uses_store() ? store_relay_.batch_bytes() : kBatchBytes;
     while (!queue_.empty()) {
       const size_t next = bytes_of(queue_.front());
       if (!items.empty() && bytes + next > most) break;
@@ -117,37 +118,38 @@
 }
 
 bool Relay::told_before(const Waiting& item) const {
-  const auto told = told_.find(item.report.machine);
+  const auto told = told_.find(item.heartbeat.machine);
   return !item.whole && told != told_.end() &&
-         protocol::unchanged(told->second.report, item.report);
+         protocol::unchanged(told->second.heartbeat, item.heartbeat);
 }
 
 size_t Relay::bytes_of(const Waiting& item) const {
-  if (!uses_store()) return kUnchangedBytes + item.words.size();
+  if (!uses_store()) return kUnchangedBytes + item.payload.size();
   if (told_before(item)) return kUnchangedBytes;
-  return kShortReportBytes + kShortTaskBytes * item.report.tasks.size();
+  return kShortReportBytes + kShortTaskBytes * item.heartbeat.tasks.size();
 }
 
 bool Relay::may_send() const {
-  return uses_store() ? store_.has_free_slot() : under_way_ < kMostUnderWay;
+  return uses_store() ? store_relay_.has_free_slot() : under_way_ < kMostUnderWay;
 }
 
 void Relay::put(Items items, bool repeated) {
-  protocol::RelayBatch batch{settings_.member, token_, {}};
+  protocol::RelayBatch batch{settings_.member, fencing_token_, {}};
   Seconds until = items.front().until;
   const bool by_store = uses_store();
   for (const auto& item : items) {
     until = std::min(until, item.until);
-    const auto& report = item.report;
-    protocol::RelayedReport out;
+    const auto& heartbeat = item.heartbeat;
+    protocol::RelayedHeartbeat out;
     if (told_before(item)) {
-      out = {"", report.machine, report.session, report.tick, told_.at(report.machine).report.tick};
+      out = {"", heartbeat.machine, heartbeat.incarnation, heartbeat.sequence,
+             told_.at(heartbeat.machine).heartbeat.sequence};
     } else if (by_store) {
-      out.report = report;
+      out.heartbeat = heartbeat;
     } else {
-      out.words = item.words;
+      out.payload = item.payload;
     }
-    batch.reports.push_back(std::move(out));
+    batch.heartbeats.push_back(std::move(out));
   }
   ++under_way_;
   auto kept = std::make_shared<Items>(std::move(items));
@@ -158,7 +160,7 @@
     arm();
   };
   if (by_store) {
-    store_.send(batch, until, done);
+    store_relay_.send(batch, until, done);
   } else {
     client_.call(endpoint_, {"POST", protocol::kRelayPath, protocol::encode_batch(batch)},
                  std::max(0.0, until - clock_.now()), done);
@@ -174,7 +176,7 @@
         answers = protocol::parse_batch_answers(response.body);
       } else if (response.status == 409) {
         // The leader has another token by now; it says which.
-        token_ = std::max(token_, protocol::parse_token(response.body));
+        fencing_token_ = std::max(fencing_token_, protocol::parse_fencing_token(response.body));
         if (!repeated) {
           put(std::move(items), true);
           return;
@@ -194,8 +196,8 @@
   if (!by_store) reached_at_ = unreached_since_ = now;
   for (size_t i = 0; i < items.size(); ++i) {
     Waiting& item = items[i];
-    if (answers[i].status == protocol::kNeedsWords) {
-      told_.erase(item.report.machine);
+    if (answers[i].status == protocol::kNeedsPayload) {
+      told_.erase(item.heartbeat.machine);
       if (item.whole) {
         give_up(item);
       } else {
@@ -205,10 +207,10 @@
       continue;
     }
     if (answers[i].status == 200) {
-      Told& told = told_[item.report.machine];
+      Told& told = told_[item.heartbeat.machine];
       told.at = now;
-      if (!protocol::unchanged(told.report, item.report) || item.whole) {
-        told.report = std::move(item.report);
+      if (!protocol::unchanged(told.heartbeat, item.heartbeat) || item.whole) {
+        told.heartbeat = std::move(item.heartbeat);
       }
     }
     item.respond({answers[i].status, std::move(answers[i].body), 0, true});
--- a/src/coordination/relay.hpp
+++ b/src/coordination/relay/relay.hpp
@@ -8,9 +8,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "coordination/store_relay.hpp"
-#include "protocol/relay.hpp"
-#include "protocol/workers.hpp"
+#include "coordination/relay/store_relay.hpp"
+#include "protocol/relay_messages.hpp"
+#include "protocol/worker_messages.hpp"
 #include "settings.hpp"
 #include "transport/http.hpp"
 
@@ -20,11 +20,11 @@
 
 class Relay {
  public:
-  Relay(transport::Clock& clock, transport::Client& client, StoreRelayClient& store,
+  Relay(transport::Clock& clock, transport::Client& client, StoreRelayClient& store_relay,
         const Settings& settings);
 
   // Who leads, as far as this node knows; an empty name: nobody.
-  void aim(const std::string& member, std::uint64_t token);
+  void aim(const std::string& member, std::uint64_t fencing_token);
   const std::string& aimed_at() const { return leader_; }
   // The peer has answered, or has not.
   void reached(const std::string& member, bool answered);
@@ -37,12 +37,12 @@
   void allow_store(bool allowed) { store_allowed_ = allowed; }
   bool uses_store() const { return store_allowed_ && !works() && cut_off(); }
   // `words` is the report as its worker sent it.
-  void take(std::string words, protocol::Report report, transport::Respond respond);
+  void take(std::string payload, protocol::Heartbeat heartbeat, transport::Respond respond);
 
  private:
   struct Waiting {
-    std::string words;
-    protocol::Report report;
+    std::string payload;
+    protocol::Heartbeat heartbeat;
     transport::Respond respond;
     Seconds until = 0;
     bool whole = false;  // the leader has asked for the words
@@ -63,11 +63,11 @@
 
   transport::Clock& clock_;
   transport::Client& client_;
-  StoreRelayClient& store_;
+  StoreRelayClient& store_relay_;
   const Settings& settings_;
   std::string leader_;
   std::string endpoint_;
-  std::uint64_t token_ = 0;
+  std::uint64_t fencing_token_ = 0;
   Seconds reached_at_ = -1;
   Seconds unreached_since_ = 0;  // the leader has not answered since then
   bool store_allowed_ = false;
@@ -76,7 +76,7 @@
   bool armed_ = false;
   // The last report of each machine that the leader has answered in whole.
   struct Told {
-    protocol::Report report;
+    protocol::Heartbeat heartbeat;
     Seconds at = 0;
   };
   std::unordered_map<std::string, Told> told_;
--- a/src/coordination/relay_assignment.cpp
+++ b/src/coordination/relay/relay_assignment.cpp
@@ -1,4 +1,4 @@
-#include "coordination/relay_assignment.hpp"
+#include "coordination/relay/relay_assignment.hpp"
 
 #include <algorithm>
 #include <tuple>
@@ -33,7 +33,7 @@
 }
 
 bool RelayAssignment::recent(Seconds when, Seconds now) const {
-  return when >= 0 && now - when < settings_.report_s * kRecentReports;
+  return when >= 0 && now - when < settings_.heartbeat_interval_s * kRecentReports;
 }
 
 size_t RelayAssignment::at(const std::string& via) const {
@@ -43,12 +43,12 @@
 
 void RelayAssignment::reported(const std::string& machine, const std::string& via, Seconds now) {
   Route& seat = routes_[machine];
-  if (seat.via != via || !recent(seat.heard_at, now)) {
-    if (recent(seat.heard_at, now) && counts_[seat.via] > 0) --counts_[seat.via];
+  if (seat.via != via || !recent(seat.last_heartbeat_at, now)) {
+    if (recent(seat.last_heartbeat_at, now) && counts_[seat.via] > 0) --counts_[seat.via];
     ++counts_[via];
     seat.via = via;
   }
-  seat.heard_at = now;
+  seat.last_heartbeat_at = now;
   if (counts_[via] > share(via)) spread_ = true;
 }
 
@@ -56,7 +56,7 @@
                                                       const std::string& zone,
                                                       const std::string& via, Seconds now) {
   Route& seat = routes_[machine];
-  const bool seated = seat.via == via && recent(seat.heard_at, now);
+  const bool seated = seat.via == via && recent(seat.last_heartbeat_at, now);
   if (at(via) + (seated ? 0 : 1) <= share(via)) return std::nullopt;
   // One that comes back from where it was sent is served, so that nobody is sent in circles.
   if (recent(seat.sent_on_at, now)) return std::nullopt;
@@ -67,7 +67,7 @@
   for (const auto& peer : settings_.peers) {
     const auto told = relays_at_.find(peer.member);
     if (peer.member == via || told == relays_at_.end() ||
-        now - told->second > settings_.report_s * kRelayReports ||
+        now - told->second > settings_.heartbeat_interval_s * kRelayReports ||
         at(peer.member) >= relay_share_) {
       continue;
     }
@@ -83,10 +83,10 @@
 void RelayAssignment::count(std::optional<size_t> machines, Seconds now) {
   counts_.clear();
   std::erase_if(routes_, [&](const auto& entry) {
-    return !recent(std::max(entry.second.heard_at, entry.second.sent_on_at), now);
+    return !recent(std::max(entry.second.last_heartbeat_at, entry.second.sent_on_at), now);
   });
   for (const auto& [machine, seat] : routes_) {
-    if (recent(seat.heard_at, now)) ++counts_[seat.via];
+    if (recent(seat.last_heartbeat_at, now)) ++counts_[seat.via];
   }
   if (!machines) return;
   if (*machines > own_share_) {
--- a/src/coordination/relay_assignment.hpp
+++ b/src/coordination/relay/relay_assignment.hpp
@@ -38,7 +38,7 @@
  private:
   struct Route {
     std::string via;
-    Seconds heard_at = -1;
+    Seconds last_heartbeat_at = -1;
     Seconds sent_on_at = -1;
   };
   bool recent(Seconds when, Seconds now) const;
--- a/src/coordination/store_relay.cpp
+++ b/src/coordination/relay/store_relay.cpp
@@ -1,4 +1,4 @@
-#include "coordination/store_relay.hpp"
+#include "coordination/relay/store_relay.hpp"
 
 #include <algorithm>
 
@@ -34,25 +34,26 @@
 
 }  // namespace
 
-StoreRelayClient::StoreRelayClient(transport::Clock& clock, storage::StateClient& state,
+StoreRelayClient::StoreRelayClient(transport::Clock& clock, storage::KeyValueClient& store,
                                    const Settings& settings)
     : clock_(clock),
-      state_(state),
+      store_(store),
       settings_(settings),
       // Later than any that an earlier process of this controller has used.
       next_number_(static_cast<std::uint64_t>(clock.unix_time() * 1000)),
-      slot_taken_(static_cast<size_t>(settings.lasting_state_limits().txn_ops), false) {}
+      slot_taken_(static_cast<size_t>(settings.lasting_store_limits().max_transaction_changes),
+                  false) {}
 
 bool StoreRelayClient::has_free_slot() const {
   return std::find(slot_taken_.begin(), slot_taken_.end(), false) != slot_taken_.end();
 }
 
 size_t StoreRelayClient::batch_bytes() const {
-  return static_cast<size_t>(settings_.lasting_state_limits().value_bytes() * kFillRatio);
+  return static_cast<size_t>(settings_.lasting_store_limits().value_bytes() * kFillRatio);
 }
 
 Seconds StoreRelayClient::gather_time() const {
-  const double allowed = settings_.lasting_state_limits().write_rps * kWriteShare;
+  const double allowed = settings_.lasting_store_limits().write_rps * kWriteShare;
   return static_cast<double>(settings_.peers.size()) * kChangesPerBatch / allowed;
 }
 
@@ -61,19 +62,19 @@
   const auto free = std::find(slot_taken_.begin(), slot_taken_.end(), false);
   const storage::RelayRequestRecord record{next_number_++, batch};
   const storage::Json data = storage::encode(record);
-  const double limit = settings_.lasting_state_limits().value_bytes();
+  const double limit = settings_.lasting_store_limits().value_bytes();
   if (free == slot_taken_.end() || !storage::fits_value(data, limit)) {
     clock_.after(0, [done = std::move(done)] { done(Outcome::not_sent, {}); });
     return;
   }
   *free = true;
   spdlog::debug("batch {} of {} reports goes by way of the state service", record.number,
-                batch.reports.size());
+                batch.heartbeats.size());
   const auto slot = static_cast<size_t>(free - slot_taken_.begin());
   storage::Transaction txn;
   txn.writes.push_back(
       {storage::relay_request_key(settings_.member, std::to_string(slot)), data, std::nullopt});
-  state_.commit(txn, [this, slot, number = record.number, until,
+  store_.commit(txn, [this, slot, number = record.number, until,
                       done = std::move(done)](const storage::CommitReply& reply) {
     if (reply.status == Status::ok) {
       await_answer(slot, number, reply.revision, until, done);
@@ -91,10 +92,10 @@
     return;
   }
   const std::string key = storage::relay_answer_key(settings_.member, std::to_string(slot));
-  state_.watch(key, since, left,
+  store_.watch(key, since, left,
                [this, slot, number, since, until, key, done](const storage::WatchReply& reply) {
                  for (const auto& event : reply.events) {
-                   if (event.key != key || event.dropped) continue;
+                   if (event.key != key || event.deleted) continue;
                    const auto record = storage::decode_relay_answer(event.data);
                    if (record.number != number) continue;  // of an earlier batch
                    finish(slot, Outcome::answered, {record.status, record.body, 0}, done);
@@ -116,13 +117,13 @@
   done(outcome, response);
 }
 
-StoreRelayServer::StoreRelayServer(transport::Clock& clock, storage::StateClient& state,
-                                   const Settings& settings, std::function<std::uint64_t()> token,
-                                   Handler handler)
+StoreRelayServer::StoreRelayServer(transport::Clock& clock, storage::KeyValueClient& store,
+                                   const Settings& settings,
+                                   std::function<std::uint64_t()> fencing_token, Handler handler)
     : clock_(clock),
-      state_(state),
+      store_(store),
       settings_(settings),
-      token_(std::move(token)),
+      fencing_token_(std::move(fencing_token)),
       handler_(std::move(handler)) {}
 
 void StoreRelayServer::begin() { find_revision(++epoch_); }
@@ -131,7 +132,7 @@
 
 // What was written before is for an earlier leader, or is not waited for any more.
 void StoreRelayServer::find_revision(std::uint64_t epoch) {
-  state_.list(storage::kRelayRequestPrefix, "", [this, epoch](const storage::ListReply& reply) {
+  store_.list(storage::kRelayRequestPrefix, "", [this, epoch](const storage::ListReply& reply) {
     if (epoch != epoch_) return;
     if (reply.status == Status::ok) {
       watch(epoch, reply.revision);
@@ -144,7 +145,7 @@
 }
 
 void StoreRelayServer::watch(std::uint64_t epoch, std::uint64_t since) {
-  state_.watch(storage::kRelayRequestPrefix, since, settings_.lease_s * kWatchRatio,
+  store_.watch(storage::kRelayRequestPrefix, since, settings_.lease_s * kWatchRatio,
                [this, epoch, since](const storage::WatchReply& reply) {
                  if (epoch != epoch_) return;
                  if (reply.status == Status::ok) {
@@ -159,7 +160,7 @@
 }
 
 void StoreRelayServer::take(const storage::Event& event) {
-  if (event.dropped) return;
+  if (event.deleted) return;
   try {
     const auto record = storage::decode_relay_request(event.data);
     const std::string member = record.batch.member;
@@ -179,15 +180,15 @@
 // its number.
 void StoreRelayServer::answer(const std::string& member, const std::string& slot,
                               std::uint64_t number, const transport::Response& response) {
-  const double limit = settings_.lasting_state_limits().value_bytes() * kFillRatio;
+  const double limit = settings_.lasting_store_limits().value_bytes() * kFillRatio;
   const std::string body =
       response.status == 200 ? fit_answers(response.body, limit) : response.body;
   storage::Transaction txn;
-  txn.guards.push_back({storage::kLeaderKey, token_()});
+  txn.preconditions.push_back({storage::kLeaderKey, fencing_token_()});
   txn.writes.push_back({storage::relay_answer_key(member, slot),
                         storage::encode(storage::RelayAnswerRecord{number, response.status, body}),
                         std::nullopt});
-  state_.commit(txn, [](const storage::CommitReply&) {});
+  store_.commit(txn, [](const storage::CommitReply&) {});
 }
 
 }  // namespace larkroad::coordination
--- a/src/coordination/store_relay.hpp
+++ b/src/coordination/relay/store_relay.hpp
@@ -12,9 +12,9 @@
 #include <string>
 #include <vector>
 
-#include "protocol/relay.hpp"
+#include "protocol/relay_messages.hpp"
 #include "settings.hpp"
-#include "storage/state_client.hpp"
+#include "storage/key_value_client.hpp"
 #include "transport/http.hpp"
 
 namespace larkroad::coordination {
@@ -24,7 +24,8 @@
 // The relay's side. As many batches may be under way as a transaction may have changes.
 class StoreRelayClient {
  public:
-  StoreRelayClient(transport::Clock& clock, storage::StateClient& state, const Settings& settings);
+  StoreRelayClient(transport::Clock& clock, storage::KeyValueClient& store,
+                   const Settings& settings);
 
   bool has_free_slot() const;
   // How many bytes of reports one batch may hold, and for how long they are to be gathered: one
@@ -43,7 +44,7 @@
               const transport::OnReply& done);
 
   transport::Clock& clock_;
-  storage::StateClient& state_;
+  storage::KeyValueClient& store_;
   const Settings& settings_;
   std::uint64_t next_number_;
   std::vector<bool> slot_taken_;
@@ -55,8 +56,9 @@
   using Handler = std::function<void(const protocol::RelayBatch&, transport::Respond)>;
 
   // `token`: that of the leadership, by which answers are guarded.
-  StoreRelayServer(transport::Clock& clock, storage::StateClient& state, const Settings& settings,
-                   std::function<std::uint64_t()> token, Handler handler);
+  StoreRelayServer(transport::Clock& clock, storage::KeyValueClient& store,
+                   const Settings& settings, std::function<std::uint64_t()> fencing_token,
+                   Handler handler);
 
   // Looks for batches from now on, or no longer.
   void begin();
@@ -70,9 +72,9 @@
               const transport::Response& response);
 
   transport::Clock& clock_;
-  storage::StateClient& state_;
+  storage::KeyValueClient& store_;
   const Settings& settings_;
-  std::function<std::uint64_t()> token_;
+  std::function<std::uint64_t()> fencing_token_;
   Handler handler_;
   std::uint64_t epoch_ = 0;
 };
--- a/src/coordination/fleet.cpp
+++ b/src/coordination/scaling/autoscaler.cpp
@@ -1,13 +1,13 @@
-#include "coordination/fleet.hpp"
+#include "coordination/scaling/autoscaler.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <optional>
 #include <tuple>
 
-#include "coordination/forecast.hpp"
-#include "coordination/replica_moves.hpp"
-#include "coordination/work_order.hpp"
+#include "coordination/scheduling/forecast.hpp"
+#include "coordination/scheduling/job_queue.hpp"
+#include "coordination/scheduling/replica_migration.hpp"
 
 namespace larkroad::coordination {
 namespace {
@@ -43,15 +43,16 @@
 
 class Round {
  public:
-  Round(ClusterState& cluster, const Refusals& refusals, const std::map<Market, int>& pending,
-        Seconds now)
+  Round(ClusterState& cluster, const CapacityBackoff& refusals,
+        const std::map<Market, int>& pending, Seconds now)
       : cluster_(cluster), refusals_(refusals), now_(now) {
     // Room that is there or on its way.
     for (const auto& [name, machine] : cluster.machines()) {
       const MachineType* type = cluster.type(machine.type);
-      if (type == nullptr || machine.returning || machine.taken_at || machine.quarantined) continue;
-      if (machine.silent && given_up(machine, *type)) continue;
-      if (!machine.heard && now - machine.rented_at > kBootPatience * type->boot_s) continue;
+      if (type == nullptr || machine.being_released || machine.reclaimed_at || machine.quarantined)
+        continue;
+      if (machine.lease_expired && given_up(machine, *type)) continue;
+      if (!machine.has_reported && now - machine.rented_at > kBootPatience * type->boot_s) continue;
       spaces_.push_back(
           {type, machine.zone, machine.spot, machine.room(), &machine, !machine.tasks.empty()});
     }
@@ -76,8 +77,8 @@
     }
   }
 
-  FleetPlan run(Seconds start_bound) {
-    FleetPlan out;
+  ScalingPlan run(Seconds start_bound) {
+    ScalingPlan out;
     // Most machines of a busy fleet are full: they are passed over once, not once for each job.
     const auto forecasts = forecast(cluster_, now_);
     least_ = least_need(cluster_);
@@ -86,22 +87,22 @@
       least_ = least_ ? least_of(*least_, need) : need;
     }
     for (Space& space : spaces_) space.full = !least_ || !space.room.fits(*least_);
-    for (Job* job : order_of_work(cluster_, now_, start_bound)) {
+    for (Job* job : order_jobs(cluster_, now_, start_bound)) {
       // Nothing is rented for what fails everywhere but for its next try.
       if (job->fails_everywhere() && now_ < job->retry_at) continue;
       const bool one_task = job->fails_everywhere() && !job->spec.is_gang();
       cover(job->spec, one_task ? 1 : job->waiting(), zones_for(*job));
     }
-    for (const ReplicaMove& move : replicas_to_move(cluster_)) {
+    for (const ReplicaMigration& move : replicas_to_migrate(cluster_)) {
       cover(cluster_.job(move.job)->spec, 1, {});
     }
     for (const auto& f : forecasts) {
       cover(*f.spec, static_cast<std::uint32_t>(std::ceil(f.missing())), {});
     }
     for (const OpenMarket& option : open_markets_) {
-      if (option.rented > 0) out.rent.push_back({option.market, option.rented});
+      if (option.rented > 0) out.scale_out.push_back({option.market, option.rented});
     }
-    give_back(out);
+    release_machines(out);
     return out;
   }
 
@@ -111,7 +112,7 @@
   // hung for a little longer than their lease all went back, and were rented anew. The list tells
   // of one that is gone for good.
   bool given_up(const Machine& machine, const MachineType& type) const {
-    return now_ - machine.silent_since > kSilentPatience * type.boot_s;
+    return now_ - machine.lease_expired_at > kSilentPatience * type.boot_s;
   }
 
   // How many more of a job's tasks each zone may take; empty: as many as there is room for.
@@ -122,7 +123,7 @@
     if (job.spec.tasks == 1 || (!job.spec.spread && !job.spec.one_zone)) return out;
     std::map<std::string, std::uint32_t> live;
     std::string live_zone;
-    for (const auto& [task, placement] : job.live) {
+    for (const auto& [task, placement] : job.placements) {
       const Machine* machine = cluster_.find_machine(placement.machine);
       if (machine == nullptr) continue;
       ++live[machine->zone];
@@ -177,7 +178,7 @@
   // Finds room for `count` tasks, in what is there and then in what could be rented.
   void cover(const JobSpec& spec, std::uint32_t count, ZoneLimits zones) {
     const auto zone_left = [&zones](const std::string& zone) {
-      if (zones.empty()) return protocol::kMostTasks;
+      if (zones.empty()) return protocol::kMaxTasksPerJob;
       const auto it = zones.find(zone);
       return it == zones.end() ? 0 : it->second;
     };
@@ -209,7 +210,7 @@
       double best_price = 0;
       for (OpenMarket& option : open_markets_) {
         const auto& [type, market, rented] = option;
-        if (rented >= protocol::kMostRented || zone_left(market.zone) == 0) continue;
+        if (rented >= protocol::kMaxRentalCount || zone_left(market.zone) == 0) continue;
         if (!allows(spec, *type, market.zone, market.spot)) continue;
         const double fits = std::min<double>(count, capacity_of(*type).times(need));
         const double price = hourly(*type, market.spot) / fits;
@@ -226,35 +227,35 @@
     }
   }
 
-  void give_back(FleetPlan& out) const {
+  void release_machines(ScalingPlan& out) const {
     std::set<std::string> wanted;
     for (const Space& space : spaces_) {
       if (space.machine != nullptr && space.wanted) wanted.insert(space.machine->name);
     }
     for (const auto& [name, machine] : cluster_.machines()) {
       const MachineType* type = cluster_.type(machine.type);
-      if (type == nullptr || machine.returning) continue;
-      if (!machine.heard) {
+      if (type == nullptr || machine.being_released) continue;
+      if (!machine.has_reported) {
         if (machine.tasks.empty() && now_ - machine.rented_at > kBootPatience * type->boot_s) {
-          out.give_back.push_back(name);
+          out.scale_in.push_back(name);
         }
         continue;
       }
-      if (machine.silent) {
-        if (given_up(machine, *type)) out.give_back.push_back(name);
+      if (machine.lease_expired) {
+        if (given_up(machine, *type)) out.scale_in.push_back(name);
         continue;
       }
       if (!machine.tasks.empty()) continue;
       if (machine.quarantined ||
           (!wanted.contains(name) && now_ - machine.idle_since > kIdlePatience * type->boot_s &&
            now_ - machine.rented_at > kShortestRental)) {
-        out.give_back.push_back(name);
+        out.scale_in.push_back(name);
       }
     }
   }
 
   ClusterState& cluster_;
-  const Refusals& refusals_;
+  const CapacityBackoff& refusals_;
   Seconds now_;
   std::vector<Space> spaces_;
   std::map<std::string, Resources> taken_;
@@ -265,20 +266,20 @@
 
 }  // namespace
 
-void Refusals::refused(const Market& market, Seconds now, Seconds first_pause,
-                       Seconds longest_pause) {
+void CapacityBackoff::refused(const Market& market, Seconds now, Seconds first_pause,
+                              Seconds longest_pause) {
   Pause& pause = pauses_[market];
   pause.length = pause.length == 0 ? first_pause : std::min(pause.length * 2, longest_pause);
   pause.until = now + pause.length;
 }
 
-bool Refusals::open(const Market& market, Seconds now) const {
+bool CapacityBackoff::open(const Market& market, Seconds now) const {
   const auto it = pauses_.find(market);
   return it == pauses_.end() || now >= it->second.until;
 }
 
-FleetPlan plan_fleet(ClusterState& cluster, const Refusals& refusals,
-                     const std::map<Market, int>& pending, Seconds now, Seconds start_bound) {
+ScalingPlan plan_scaling(ClusterState& cluster, const CapacityBackoff& refusals,
+                         const std::map<Market, int>& pending, Seconds now, Seconds start_bound) {
   return Round(cluster, refusals, pending, now).run(start_bound);
 }
 
--- a/src/coordination/fleet.hpp
+++ b/src/coordination/scaling/autoscaler.hpp
@@ -6,7 +6,7 @@
 #include <tuple>
 #include <vector>
 
-#include "coordination/cluster_state.hpp"
+#include "coordination/cluster_state/cluster_state.hpp"
 
 namespace larkroad::coordination {
 
@@ -19,7 +19,7 @@
 };
 
 // What the cloud has lately refused; asked again after a pause that grows.
-class Refusals {
+class CapacityBackoff {
  public:
   void refused(const Market& market, Seconds now, Seconds first_pause, Seconds longest_pause);
   void granted(const Market& market) { pauses_.erase(market); }
@@ -34,18 +34,18 @@
   std::map<Market, Pause> pauses_;
 };
 
-struct Rent {
+struct ScaleOut {
   Market market;
   int count = 1;
 };
 
-struct FleetPlan {
-  std::vector<Rent> rent;
-  std::vector<std::string> give_back;
+struct ScalingPlan {
+  std::vector<ScaleOut> scale_out;
+  std::vector<std::string> scale_in;
 };
 
 // `pending`: machines asked for without an answer so far.
-FleetPlan plan_fleet(ClusterState& cluster, const Refusals& refusals,
-                     const std::map<Market, int>& pending, Seconds now, Seconds start_bound);
+ScalingPlan plan_scaling(ClusterState& cluster, const CapacityBackoff& refusals,
+                         const std::map<Market, int>& pending, Seconds now, Seconds start_bound);
 
 }  // namespace larkroad::coordination
--- a/src/coordination/catalog.hpp
+++ b/src/coordination/scaling/machine_catalog.hpp
@@ -4,21 +4,21 @@
 #include <functional>
 #include <vector>
 
-#include "protocol/cloud.hpp"
+#include "protocol/cloud_messages.hpp"
 #include "settings.hpp"
+#include "storage/key_value_client.hpp"
 #include "storage/records.hpp"
-#include "storage/state_client.hpp"
 
 namespace larkroad::coordination {
 
 using transport::Seconds;
 
 // Read from the state service at start, else from the cloud; the leader refreshes the prices.
-class Catalog {
+class MachineCatalog {
  public:
-  Catalog(transport::Clock& clock, transport::Client& client, storage::StateClient& state,
-          const Settings& settings)
-      : clock_(clock), client_(client), state_(state), settings_(settings) {}
+  MachineCatalog(transport::Clock& clock, transport::Client& client, storage::KeyValueClient& store,
+                 const Settings& settings)
+      : clock_(clock), client_(client), store_(store), settings_(settings) {}
 
   void start();
   // Asks the cloud for the present types and prices.
@@ -33,7 +33,7 @@
 
   transport::Clock& clock_;
   transport::Client& client_;
-  storage::StateClient& state_;
+  storage::KeyValueClient& store_;
   const Settings& settings_;
   std::vector<protocol::MachineType> types_;
   bool stored_ = false;
--- a/src/coordination/cycle_view.cpp
+++ b/src/coordination/scheduling/cycle_view.cpp
@@ -1,10 +1,10 @@
-#include "coordination/cycle_view.hpp"
+#include "coordination/scheduling/cycle_view.hpp"
 
 #include <algorithm>
 #include <tuple>
 
-#include "coordination/forecast.hpp"
-#include "coordination/work_order.hpp"
+#include "coordination/scheduling/forecast.hpp"
+#include "coordination/scheduling/job_queue.hpp"
 
 namespace larkroad::coordination {
 namespace {
@@ -23,7 +23,7 @@
   room.memory_gb -= each.memory_gb * count;
 }
 
-CycleView::CycleView(ClusterState& cluster, const GangHolds& holds, Seconds now)
+CycleView::CycleView(ClusterState& cluster, const GangReservations& holds, Seconds now)
     : cluster_(cluster), now_(now) {
   add_machines();
   add_gpu_needs();
@@ -79,9 +79,9 @@
     // However much may come, the less important work keeps its part of the machines.
     reserve.missing = std::min(reserve.missing, most * kReserveMost);
     for (const auto& [team, wanted] : expected.wanted_by_team) {
-      const auto there = expected.present_by_team.find(team);
-      const double present = there == expected.present_by_team.end() ? 0 : there->second;
-      reserve.missing_by_team[team] = std::max(0.0, wanted - present);
+      const auto there = expected.current_by_team.find(team);
+      const double current = there == expected.current_by_team.end() ? 0 : there->second;
+      reserve.missing_by_team[team] = std::max(0.0, wanted - current);
     }
     reserves_.push_back(std::move(reserve));
   }
@@ -136,7 +136,7 @@
   }
 }
 
-void CycleView::give_back(const Job& job, MachineView& view) {
+void CycleView::release(const Job& job, MachineView& view) {
   view.room += needs_of(job.spec);
   view.fetching.reset();  // seen anew when it matters
   for (ClassReserve& reserve : reserves_) {
@@ -144,7 +144,7 @@
   }
 }
 
-void CycleView::free_held(const GangHolds::Hold& hold) {
+void CycleView::free_held(const GangReservations::Hold& hold) {
   for (const auto& [name, count] : hold.tasks) {
     if (MachineView* view = find(name)) {
       take_room(view->room, hold.each, -static_cast<double>(count));
@@ -156,7 +156,7 @@
                                                 const std::vector<std::uint32_t>& moving) const {
   ZoneCounts out;
   if (!job.spec.one_zone && !job.spec.spread) return out;
-  for (const auto& [task, placement] : job.live) {
+  for (const auto& [task, placement] : job.placements) {
     if (std::find(moving.begin(), moving.end(), task) != moving.end()) continue;
     if (const Machine* machine = cluster_.find_machine(placement.machine)) ++out[machine->zone];
   }
--- a/src/coordination/cycle_view.hpp
+++ b/src/coordination/scheduling/cycle_view.hpp
@@ -9,8 +9,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "coordination/cluster_state.hpp"
-#include "coordination/gang_holds.hpp"
+#include "coordination/cluster_state/cluster_state.hpp"
+#include "coordination/scheduling/gang_reservations.hpp"
 
 namespace larkroad::coordination {
 
@@ -48,7 +48,7 @@
 
 class CycleView {
  public:
-  CycleView(ClusterState& cluster, const GangHolds& holds, Seconds now);
+  CycleView(ClusterState& cluster, const GangReservations& holds, Seconds now);
   // Pools and the name index point into the machines.
   CycleView(const CycleView&) = delete;
   CycleView& operator=(const CycleView&) = delete;
@@ -72,9 +72,9 @@
 
   // Takes the room of one task, or gives it back.
   void take(const Job& job, MachineView& view);
-  void give_back(const Job& job, MachineView& view);
+  void release(const Job& job, MachineView& view);
   // The room that a gang holds counts as free for itself.
-  void free_held(const GangHolds::Hold& hold);
+  void free_held(const GangReservations::Hold& hold);
 
   // After a change of leader the zone of what runs may not be known yet: then nothing that depends
   // on it may be decided, and the result is empty.
--- a/src/coordination/forecast.cpp
+++ b/src/coordination/scheduling/forecast.cpp
@@ -1,4 +1,4 @@
-#include "coordination/forecast.hpp"
+#include "coordination/scheduling/forecast.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -39,7 +39,7 @@
   double most = 0;
   for (const auto& [id, job] : cluster.jobs()) {
     if (job->spec.job_class != job_class) continue;
-    for (const auto& [task, placement] : job->live) {
+    for (const auto& [task, placement] : job->placements) {
       most = std::max(most, by_machine[placement.machine] += 1);
     }
   }
@@ -50,9 +50,9 @@
   for (const auto& [id, job] : cluster.jobs()) {
     if (job->spec.job_class != job_class) continue;
     double there = job->waiting();
-    if (!job->spec.is_service()) there += static_cast<double>(job->live.size());
-    out.present += there;
-    out.present_by_team[job->spec.team] += there;
+    if (!job->spec.is_service()) there += static_cast<double>(job->placements.size());
+    out.current += there;
+    out.current_by_team[job->spec.team] += there;
   }
 }
 
--- a/src/coordination/forecast.hpp
+++ b/src/coordination/scheduling/forecast.hpp
@@ -6,17 +6,17 @@
 #include <string>
 #include <vector>
 
-#include "coordination/cluster_state.hpp"
+#include "coordination/cluster_state/cluster_state.hpp"
 
 namespace larkroad::coordination {
 
 struct Forecast {
   const JobSpec* spec = nullptr;  // the latest of its class
   double wanted = 0;              // tasks that are to find room at once
-  double present = 0;             // of which so many are waiting or placed
+  double current = 0;             // of which so many are waiting or placed
   std::map<std::string, double> wanted_by_team;
-  std::map<std::string, double> present_by_team;
-  double missing() const { return wanted > present ? wanted - present : 0; }
+  std::map<std::string, double> current_by_team;
+  double missing() const { return wanted > current ? wanted - current : 0; }
 };
 
 std::vector<Forecast> forecast(const ClusterState& cluster, Seconds now);
--- a/src/coordination/gang_holds.cpp
+++ b/src/coordination/scheduling/gang_reservations.cpp
@@ -1,9 +1,9 @@
-#include "coordination/gang_holds.hpp"
+#include "coordination/scheduling/gang_reservations.hpp"
 
 namespace larkroad::coordination {
 
-void GangHolds::reserve(const std::string& job, const Resources& each, const std::string& machine,
-                        std::uint32_t count, Seconds expires) {
+void GangReservations::reserve(const std::string& job, const Resources& each,
+                               const std::string& machine, std::uint32_t count, Seconds expires) {
   Hold& hold = holds_[job];
   if (hold.tasks.empty()) {
     hold.each = each;
@@ -12,9 +12,9 @@
   hold.tasks[machine] += count;
 }
 
-void GangHolds::release(const std::string& job) { holds_.erase(job); }
+void GangReservations::release(const std::string& job) { holds_.erase(job); }
 
-std::vector<std::string> GangHolds::expire(Seconds now) {
+std::vector<std::string> GangReservations::expire(Seconds now) {
   std::vector<std::string> out;
   for (auto it = holds_.begin(); it != holds_.end();) {
     if (now >= it->second.expires) {
@@ -27,7 +27,7 @@
   return out;
 }
 
-const GangHolds::Hold* GangHolds::find(const std::string& job) const {
+const GangReservations::Hold* GangReservations::find(const std::string& job) const {
   const auto it = holds_.find(job);
   return it == holds_.end() ? nullptr : &it->second;
 }
--- a/src/coordination/gang_holds.hpp
+++ b/src/coordination/scheduling/gang_reservations.hpp
@@ -6,11 +6,11 @@
 #include <string>
 #include <vector>
 
-#include "coordination/cluster_state.hpp"
+#include "coordination/cluster_state/cluster_state.hpp"
 
 namespace larkroad::coordination {
 
-class GangHolds {
+class GangReservations {
  public:
   struct Hold {
     std::map<std::string, std::uint32_t> tasks;  // by machine
--- a/src/coordination/work_order.cpp
+++ b/src/coordination/scheduling/job_queue.cpp
@@ -1,4 +1,4 @@
-#include "coordination/work_order.hpp"
+#include "coordination/scheduling/job_queue.hpp"
 
 #include <algorithm>
 #include <array>
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <tuple>
 
-#include "coordination/replica_moves.hpp"
+#include "coordination/scheduling/replica_migration.hpp"
 
 namespace larkroad::coordination {
 namespace {
@@ -58,7 +58,8 @@
     std::map<std::tuple<const MachineType*, std::string, bool>, size_t> known;
     for (const auto& [name, machine] : cluster.machines()) {
       const MachineType* type = cluster.type(machine.type);
-      if (type == nullptr || machine.returning || machine.silent || machine.quarantined) continue;
+      if (type == nullptr || machine.being_released || machine.lease_expired || machine.quarantined)
+        continue;
       const auto [at, made] = known.try_emplace({type, machine.zone, machine.spot}, pools_.size());
       if (made) pools_.push_back({type, machine.zone, machine.spot, 0, {}, {}});
       Pool& pool = pools_[at->second];
@@ -168,9 +169,9 @@
 // taken together: a round then costs by jobs, not by the thousands of tasks of a large array.
 void add_live_tasks(const Job& job, Seconds now, Seconds running, Seconds run, double of_fleet,
                     double of_limit, std::map<protocol::Priority, Shared>& shared) {
-  if (job.live.empty()) return;
+  if (job.placements.empty()) return;
   std::array<double, kEndSteps + 1> ends{};
-  for (const auto& [task, p] : job.live) {
+  for (const auto& [task, p] : job.placements) {
     const Seconds left =
         p.running_since < 0 ? run : std::max(running - (now - p.running_since), running / 4);
     const double step = run > 0 ? std::clamp(left / run, 0.0, 1.0) * kEndSteps : 0;
@@ -291,7 +292,7 @@
     const Resources need = needs_of(job->spec);
     out = out ? least_of(*out, need) : need;
   }
-  for (const ReplicaMove& move : replicas_to_move(cluster)) {
+  for (const ReplicaMigration& move : replicas_to_migrate(cluster)) {
     const Resources need = needs_of(cluster.job(move.job)->spec);
     out = out ? least_of(*out, need) : need;
   }
@@ -306,7 +307,7 @@
 std::set<std::string> within_guarantee(const ClusterState& cluster) {
   std::map<std::string, std::vector<const Job*>> by_team;
   for (const auto& [id, job] : cluster.jobs()) {
-    if (!job->over()) by_team[job->spec.team].push_back(job.get());
+    if (!job->is_finished()) by_team[job->spec.team].push_back(job.get());
   }
   std::set<std::string> out;
   for (auto& [name, jobs] : by_team) {
@@ -342,7 +343,7 @@
   return waited > time * kRisesAfter ? Aging::first_of_its_priority : Aging::none;
 }
 
-std::vector<Job*> order_of_work(ClusterState& cluster, Seconds now, Seconds start_bound) {
+std::vector<Job*> order_jobs(ClusterState& cluster, Seconds now, Seconds start_bound) {
   const auto guaranteed = within_guarantee(cluster);
   const Capacity capacity(cluster);
   std::map<protocol::Priority, Shared> shared;
@@ -350,7 +351,7 @@
   std::map<protocol::Priority, std::pair<Seconds, double>> runs;  // summed, and how many
   for (const auto& [id, job] : cluster.jobs()) {
     const bool waits = job->waiting() > 0;
-    if (job->live.empty() && !waits) continue;
+    if (job->placements.empty() && !waits) continue;
     // A place is taken from the fetch of the image on.
     const Seconds running = cluster.expected_run(job->spec);
     const Seconds run = running + std::max(0.0, soonest_start(cluster, job->spec, false));
--- a/src/coordination/work_order.hpp
+++ b/src/coordination/scheduling/job_queue.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/cluster_state.hpp"
+#include "coordination/cluster_state/cluster_state.hpp"
 
 namespace larkroad::coordination {
 
@@ -25,7 +25,7 @@
 // is full. Nothing when none waits.
 std::optional<Resources> least_need(const ClusterState& cluster);
 
-// How a job that has not begun rises with its wait: see order_of_work.
+// How a job that has not begun rises with its wait: see order_jobs.
 enum class Aging { none, first_of_its_priority, urgent };
 Aging aging_of(const ClusterState& cluster, const Job& job, Seconds now, Seconds start_bound);
 
@@ -35,6 +35,6 @@
 // Giving up the largest job first is what could starve it: a job that has not begun after three
 // quarters of `start_bound` (0: none), less the time that its image takes, comes before all others
 // of its priority, and soon after that it counts as urgent.
-std::vector<Job*> order_of_work(ClusterState& cluster, Seconds now, Seconds start_bound);
+std::vector<Job*> order_jobs(ClusterState& cluster, Seconds now, Seconds start_bound);
 
 }  // namespace larkroad::coordination
--- a/src/coordination/placement.cpp
+++ b/src/coordination/scheduling/placement.cpp
@@ -1,4 +1,4 @@
-#include "coordination/placement.hpp"
+#include "coordination/scheduling/placement.hpp"
 
 #include <algorithm>
 #include <tuple>
@@ -45,19 +45,19 @@
     const bool better = next.choice.size() > best.choice.size() ||
                         (next.choice.size() == best.choice.size() && next.cost < best.cost);
     if (better) std::swap(best, next);
-    give_back(job, next.choice);
+    release(job, next.choice);
   }
   return best.choice;
 }
 
-void MachineChooser::give_back(const Job& job, const Choice& choice) {
-  for (const auto& [machine, task] : choice) view_.give_back(job, *machine);
+void MachineChooser::release(const Job& job, const Choice& choice) {
+  for (const auto& [machine, task] : choice) view_.release(job, *machine);
 }
 
 std::map<const Machine*, int> MachineChooser::replicas_of(const Job& job) const {
   std::map<const Machine*, int> out;
   if (!job.spec.is_service()) return out;
-  for (const auto& [task, placement] : job.live) {
+  for (const auto& [task, placement] : job.placements) {
     if (const Machine* machine = view_.cluster().find_machine(placement.machine)) ++out[machine];
   }
   return out;
@@ -113,29 +113,29 @@
   if (!machine.room.fits(needs_of(request.job.spec))) return kImpossible;
   const double lost = displaced(request, machine);
   if (lost < 0) return kImpossible;
-  const Seconds report = view_.cluster().settings().report_s;
-  return cost(request, machine) + lost * report * kDisplacedReports;
+  const Seconds heartbeat = view_.cluster().settings().heartbeat_interval_s;
+  return cost(request, machine) + lost * heartbeat * kDisplacedReports;
 }
 
 // What placing a task here costs, in seconds of somebody's time.
 double MachineChooser::cost(const Request& request, MachineView& machine) const {
   const Job& job = request.job;
   const MachinePool& pool = view_.pool_of(machine);
-  const Seconds report = view_.cluster().settings().report_s;
+  const Seconds heartbeat = view_.cluster().settings().heartbeat_interval_s;
   double out = view_.image_wait(job, machine);
   // Work that needs no GPU leaves the machines that have some to work that does, unless it would
   // wait for its image elsewhere.
   if (job.spec.gpus == 0 && pool.type->gpus > 0) {
-    out += report * (1 + kBlockedReports * view_.blocked_gpus(job, machine));
+    out += heartbeat * (1 + kBlockedReports * view_.blocked_gpus(job, machine));
   }
   // Another machine tells whether the job or the machine is at fault.
-  if (job.failed_on.contains(machine.machine->name)) out += report * kFailedReports;
+  if (job.failed_machines.contains(machine.machine->name)) out += heartbeat * kFailedReports;
   // The loss of a machine then takes few replicas of a service.
   if (const auto it = request.replicas.find(machine.machine); it != request.replicas.end()) {
     out += kSharedMachineSeconds * it->second;
   }
   // Spot machines first: what may not use them has only the others.
-  if (job.spec.spot && !pool.spot) out += report;
+  if (job.spec.spot && !pool.spot) out += heartbeat;
   // Best fit: the less room remains, the better the rest of the fleet can take large tasks.
   Resources rest = machine.room;
   rest -= needs_of(job.spec);
--- a/src/coordination/placement.hpp
+++ b/src/coordination/scheduling/placement.hpp
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "coordination/cycle_view.hpp"
+#include "coordination/scheduling/cycle_view.hpp"
 
 namespace larkroad::coordination {
 
@@ -26,7 +26,7 @@
   // Chooses a machine for each of `tasks`, as far as there is room, and takes it from the view.
   Choice choose(const Job& job, const std::vector<std::uint32_t>& tasks,
                 const PlacementPolicy& policy);
-  void give_back(const Job& job, const Choice& choice);
+  void release(const Job& job, const Choice& choice);
   // Machines looked at, once for each job that considered them: what a cycle costs.
   size_t looked_at() const { return looked_at_; }
 
--- a/src/coordination/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -1,11 +1,11 @@
-#include "coordination/preemption.hpp"
+#include "coordination/scheduling/preemption.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <functional>
 #include <tuple>
 
-#include "coordination/work_order.hpp"
+#include "coordination/scheduling/job_queue.hpp"
 
 namespace larkroad::coordination {
 namespace {
@@ -20,14 +20,14 @@
 constexpr size_t kOffersPerTask = 8;
 
 bool can_stop(const Placement& placement) {
-  return !placement.stopping && placement.stage == Placement::Stage::held &&
+  return !placement.stopping && placement.stage == Placement::Stage::acknowledged &&
          placement.state != TaskState::saving;
 }
 
 bool stoppable(const Job& owner, const Placement& placement) {
   if (!owner.spec.is_gang()) return can_stop(placement);
   // An orderly stop needs every member to be there.
-  return std::all_of(owner.live.begin(), owner.live.end(),
+  return std::all_of(owner.placements.begin(), owner.placements.end(),
                      [](const auto& entry) { return can_stop(entry.second); });
 }
 
@@ -72,24 +72,25 @@
   if (surveyed_) return;
   surveyed_ = true;
   size_t most = 0;
-  for (const auto& [id, job] : view_.cluster().jobs()) most += job->live.size();
+  for (const auto& [id, job] : view_.cluster().jobs()) most += job->placements.size();
   candidates_.reserve(most);  // pointers into it must last
   for (const auto& [id, job] : view_.cluster().jobs()) add_candidates(*job);
 }
 
 void Preemptor::add_candidates(const Job& job) {
   const Resources need = needs_of(job.spec);
-  const bool guaranteed = !job.live.empty() && is_guaranteed(job);
+  const bool guaranteed = !job.placements.empty() && is_guaranteed(job);
   const bool guest = is_guest(view_.cluster().settings(), job.spec.team);
-  const auto priority = static_cast<size_t>(job.standing());
-  for (const auto& [task, placement] : job.live) {
+  const auto priority = static_cast<size_t>(job.effective_priority());
+  for (const auto& [task, placement] : job.placements) {
     MachineView* machine = view_.find(placement.machine);
     if (placement.stopping) {
       if (machine != nullptr) machine->releasing += need;
       releasing_limits_[job.spec.team] += need;
       continue;
     }
-    if (job.standing() <= protocol::Priority::production || !stoppable(job, placement)) continue;
+    if (job.effective_priority() <= protocol::Priority::production || !stoppable(job, placement))
+      continue;
     candidates_.push_back({&job, &placement, machine, guaranteed, guest, false});
     Candidate* candidate = &candidates_.back();
     if (job.spec.is_gang()) by_placement_[&placement] = candidate;
@@ -111,7 +112,7 @@
   const JobSpec& other = candidate.owner->spec;
   // GPU work is not stopped for what needs none, unless that is urgent.
   if (spec.gpus <= 0 && other.gpus > 0 && spec.priority > protocol::Priority::high) return false;
-  const auto standing = candidate.owner->standing();
+  const auto standing = candidate.owner->effective_priority();
   if (search.rights.by_priority && standing > spec.priority) return true;
   if (!search.rights.by_guarantee || other.team == spec.team || candidate.guaranteed) return false;
   return standing > spec.priority || (standing == spec.priority && candidate.guest);
@@ -121,13 +122,14 @@
   const JobSpec& spec = candidate.owner->spec;
   const Placement& placement = *candidate.placement;
   const Seconds ran = placement.running_since < 0 ? 0 : view_.now() - placement.running_since;
-  const Seconds report = view_.cluster().settings().report_s;
+  const Seconds heartbeat = view_.cluster().settings().heartbeat_interval_s;
   Seconds since = spec.checkpoint_s > 0 ? std::fmod(ran, spec.checkpoint_s) : ran;
   // A replica repeats no work, but it is away until it runs elsewhere.
-  if (spec.is_service()) since = report * kRestartReports;
-  const bool save =
-      spec.checkpoint_s > 0 && since > spec.save_s && spec.save_s + report / 4 <= search.time_left;
-  const double members = spec.is_gang() ? static_cast<double>(candidate.owner->live.size()) : 1;
+  if (spec.is_service()) since = heartbeat * kRestartReports;
+  const bool save = spec.checkpoint_s > 0 && since > spec.save_s &&
+                    spec.save_s + heartbeat / 4 <= search.time_left;
+  const double members =
+      spec.is_gang() ? static_cast<double>(candidate.owner->placements.size()) : 1;
   return {&candidate, (save ? spec.save_s : since) * members, save};
 }
 
@@ -139,12 +141,12 @@
   for (Candidate* candidate : from) {
     if (may_stop(search, *candidate)) out.push_back(victim(search, *candidate));
   }
-  const Seconds report = view_.cluster().settings().report_s;
-  const auto key = [report](const Victim& v) {
+  const Seconds heartbeat = view_.cluster().settings().heartbeat_interval_s;
+  const auto key = [heartbeat](const Victim& v) {
     const Job& owner = *v.candidate->owner;
-    return std::make_tuple(-static_cast<int>(owner.standing()), std::floor(v.loss / report),
-                           -owner.submitted, v.loss, std::cref(owner.id()),
-                           v.candidate->placement->task);
+    return std::make_tuple(-static_cast<int>(owner.effective_priority()),
+                           std::floor(v.loss / heartbeat), -owner.submitted, v.loss,
+                           std::cref(owner.id()), v.candidate->placement->task);
   };
   std::sort(out.begin(), out.end(),
             [&](const Victim& a, const Victim& b) { return key(a) < key(b); });
@@ -169,7 +171,7 @@
     stop_one(*victim.candidate);
     return;
   }
-  for (const auto& [task, placement] : owner.live) stop_one(*by_placement_.at(&placement));
+  for (const auto& [task, placement] : owner.placements) stop_one(*by_placement_.at(&placement));
 }
 
 void Preemptor::undo(Changes& changes) {
@@ -319,7 +321,8 @@
   view_.take_limit(search.job, search.wanted);
 }
 
-void Preemptor::report(const Search& search, const Changes& changes, std::vector<Preemption>& out) {
+void Preemptor::append_preemptions(const Search& search, const Changes& changes,
+                                   std::vector<Preemption>& out) {
   for (const Victim& victim : changes.victims) {
     out.push_back({victim.candidate->owner->id(), victim.candidate->placement->task, victim.save,
                    search.job.id()});
@@ -355,8 +358,8 @@
     std::vector<MachineView*> claimed;
     if (claim_machines(search, zone, *live, in_zone, claimed)) {
       claim(search, claimed);
-      report(search, changes, out);
-      report(search, in_zone, out);
+      append_preemptions(search, changes, out);
+      append_preemptions(search, in_zone, out);
       return;
     }
     undo(in_zone);
--- a/src/coordination/preemption.hpp
+++ b/src/coordination/scheduling/preemption.hpp
@@ -9,7 +9,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "coordination/cycle_view.hpp"
+#include "coordination/scheduling/cycle_view.hpp"
 
 namespace larkroad::coordination {
 
@@ -50,7 +50,7 @@
 
 class Preemptor {
  public:
-  Preemptor(CycleView& view, GangHolds& holds) : view_(view), holds_(holds) {}
+  Preemptor(CycleView& view, GangReservations& holds) : view_(view), holds_(holds) {}
 
   // Work within its team's guarantee need not wait for what another team runs beyond its own, so it
   // gives that no time to end by itself.
@@ -98,7 +98,7 @@
     Resources need;
     std::uint32_t wanted;
     Seconds time_left;  // until its next start
-    const GangHolds::Hold* own_hold;
+    const GangReservations::Hold* own_hold;
   };
   struct FailedSearch {
     UnschedulableNeed need;
@@ -133,10 +133,11 @@
   bool could_fit(const Search& search, const MachineView& machine) const;
   double price(const Search& search, MachineView& machine, std::vector<Victim>& whom) const;
   void claim(const Search& search, const std::vector<MachineView*>& machines);
-  static void report(const Search& search, const Changes& changes, std::vector<Preemption>& out);
+  static void append_preemptions(const Search& search, const Changes& changes,
+                                 std::vector<Preemption>& out);
 
   CycleView& view_;
-  GangHolds& holds_;
+  GangReservations& holds_;
   size_t looked_at_ = 0;
   bool surveyed_ = false;
   std::optional<std::set<std::string>> guaranteed_;  // jobs within their team's guarantee
--- a/src/coordination/ready_tasks.cpp
+++ b/src/coordination/scheduling/ready_tasks.cpp
@@ -1,4 +1,4 @@
-#include "coordination/ready_tasks.hpp"
+#include "coordination/scheduling/ready_tasks.hpp"
 
 #include <map>
 
@@ -12,13 +12,13 @@
 class RecordRoom {
  public:
   RecordRoom(const ClusterState& cluster, const Job& job)
-      : cluster_(cluster), job_(job), limited_(cluster.has_large_chunks(job)) {}
+      : cluster_(cluster), job_(job), limited_(cluster.has_oversized_shards(job)) {}
 
   bool take(std::uint32_t task) {
     if (!limited_) return true;
-    const std::uint32_t chunk = job_.chunk_of(task);
-    const auto [left, made] = left_.try_emplace(chunk, 0);
-    if (made) left->second = cluster_.record_bytes_left(job_, chunk) / kCommonTaskBytes;
+    const std::uint32_t shard = job_.shard_of(task);
+    const auto [left, made] = left_.try_emplace(shard, 0);
+    if (made) left->second = cluster_.record_bytes_left(job_, shard) / kCommonTaskBytes;
     if (left->second == 0) return false;
     --left->second;
     return true;
@@ -28,7 +28,7 @@
   const ClusterState& cluster_;
   const Job& job_;
   bool limited_;
-  std::map<std::uint32_t, size_t> left_;  // by chunk
+  std::map<std::uint32_t, size_t> left_;  // by shard
 };
 
 bool waits_after_ends(const Job& job, std::uint32_t task, Seconds now) {
@@ -42,11 +42,12 @@
                                        std::uint32_t most, Seconds now) {
   std::vector<std::uint32_t> out;
   RecordRoom records(cluster, job);
-  for (const std::uint32_t task : job.returned) {
+  for (const std::uint32_t task : job.requeued) {
     if (out.size() >= most) return out;
     if (!waits_after_ends(job, task, now) && records.take(task)) out.push_back(task);
   }
-  for (std::uint32_t task = job.next_fresh; task < job.spec.tasks && out.size() < most; ++task) {
+  for (std::uint32_t task = job.next_never_placed; task < job.spec.tasks && out.size() < most;
+       ++task) {
     out.push_back(task);
   }
   return out;
--- a/src/coordination/replica_moves.cpp
+++ b/src/coordination/scheduling/replica_migration.cpp
@@ -1,4 +1,4 @@
-#include "coordination/replica_moves.hpp"
+#include "coordination/scheduling/replica_migration.hpp"
 
 namespace larkroad::coordination {
 namespace {
@@ -6,17 +6,17 @@
 bool must_move(const ClusterState& cluster, const TaskId& id) {
   const Job* job = cluster.job(id.job);
   if (job == nullptr || !job->spec.is_service() || job->cancelled) return false;
-  const auto it = job->live.find(id.task);
-  return it != job->live.end() && it->second.stage == Placement::Stage::held &&
+  const auto it = job->placements.find(id.task);
+  return it != job->placements.end() && it->second.stage == Placement::Stage::acknowledged &&
          !it->second.stopping;
 }
 
 }  // namespace
 
-std::vector<ReplicaMove> replicas_to_move(const ClusterState& cluster) {
-  std::vector<ReplicaMove> out;
+std::vector<ReplicaMigration> replicas_to_migrate(const ClusterState& cluster) {
+  std::vector<ReplicaMigration> out;
   for (const auto& [name, machine] : cluster.machines()) {
-    if (!machine.taken_at && !machine.quarantined) continue;
+    if (!machine.reclaimed_at && !machine.quarantined) continue;
     for (const TaskId& id : machine.tasks) {
       if (must_move(cluster, id)) out.push_back({id.job, id.task, name});
     }
--- a/src/coordination/replica_moves.hpp
+++ b/src/coordination/scheduling/replica_migration.hpp
@@ -5,11 +5,11 @@
 #include <string>
 #include <vector>
 
-#include "coordination/cluster_state.hpp"
+#include "coordination/cluster_state/cluster_state.hpp"
 
 namespace larkroad::coordination {
 
-struct ReplicaMove {
+struct ReplicaMigration {
   std::string job;
   std::uint32_t task = 0;
   std::string from;
@@ -17,6 +17,6 @@
 
 // Replicas that run on machines which are about to be taken back or on which every task fails, and
 // that are not being stopped yet.
-std::vector<ReplicaMove> replicas_to_move(const ClusterState& cluster);
+std::vector<ReplicaMigration> replicas_to_migrate(const ClusterState& cluster);
 
 }  // namespace larkroad::coordination
--- a/src/coordination/planner.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -1,10 +1,10 @@
-#include "coordination/planner.hpp"
+#include "coordination/scheduling/scheduler.hpp"
 
 #include <algorithm>
 
-#include "coordination/cycle_view.hpp"
-#include "coordination/placement.hpp"
-#include "coordination/ready_tasks.hpp"
+#include "coordination/scheduling/cycle_view.hpp"
+#include "coordination/scheduling/placement.hpp"
+#include "coordination/scheduling/ready_tasks.hpp"
 
 namespace larkroad::coordination {
 namespace {
@@ -16,7 +16,8 @@
 // One pass over the waiting jobs, most important first.
 class SchedulingCycle {
  public:
-  SchedulingCycle(ClusterState& cluster, GangHolds& holds, Seconds now, const PlanLimits& limits)
+  SchedulingCycle(ClusterState& cluster, GangReservations& holds, Seconds now,
+                  const CycleLimits& limits)
       : holds_(holds),
         now_(now),
         limits_(limits),
@@ -26,7 +27,7 @@
 
   Plan run() {
     Plan out;
-    const auto jobs = order_of_work(view_.cluster(), now_, limits_.start_bound_s);
+    const auto jobs = order_jobs(view_.cluster(), now_, limits_.start_bound_s);
     for (size_t i = 0; i < jobs.size(); ++i) {
       Job& job = *jobs[i];
       // Urgent work comes first in every cycle, so that its claims stand and what arrives
@@ -37,7 +38,7 @@
         out.stopped_at = i;
         break;
       }
-      if (!job.busy && now_ >= job.retry_at) schedule(job, out);
+      if (!job.write_in_flight && now_ >= job.retry_at) schedule(job, out);
     }
     move_replicas(out);
     out.looked_at = chooser_.looked_at() + preemptor_.looked_at();
@@ -105,7 +106,7 @@
     const bool one_task = rise != Aging::none || job.fails_everywhere();
     const auto tasks = ready_tasks(view_.cluster(), job, one_task ? 1 : allowed, now_);
     // What is held for replicas on their way from another machine is for them.
-    if (const GangHolds::Hold* own = holds_.find(job.id())) {
+    if (const GangReservations::Hold* own = holds_.find(job.id())) {
       view_.free_held(*own);
       holds_.release(job.id());
     }
@@ -122,19 +123,20 @@
                   Assignment& out) {
     const std::uint32_t wanted = job.waiting();
     // All its tasks are recorded at once, or none: its records are laid out anew first.
-    if (wanted == 0 || view_.cluster().has_large_chunks(job)) return;
+    if (wanted == 0 || view_.cluster().has_oversized_shards(job)) return;
     const bool aged = rise != Aging::none;
     if (wanted > allowed) {
       // Others of its team must not take for ever, piece by piece, what it needs at once.
       if (aged && !preemptor_.may_stop_lower(job)) view_.take_limit(job, wanted);
       return;
     }
-    const GangHolds::Hold* own = holds_.find(job.id());
+    const GangReservations::Hold* own = holds_.find(job.id());
     if (own == nullptr && unschedulable(job, policy)) return;
     // Its own holds count as room for it alone.
     if (own != nullptr) view_.free_held(*own);
     // One that has waited long keeps what it has found.
-    const Seconds expires = own != nullptr && !aged ? own->expires : now_ + limits_.hold_s;
+    const Seconds expires =
+        own != nullptr && !aged ? own->expires : now_ + limits_.reservation_limit_s;
     const Choice choice =
         chooser_.choose(job, ready_tasks(view_.cluster(), job, wanted, now_), policy);
     holds_.release(job.id());
@@ -146,7 +148,7 @@
     // Only the foremost gang that lacks room keeps what it has found: two gangs can then never
     // block each other with half of what each needs, and the pieces held are those of one.
     if (holder_ || choice.empty()) {
-      chooser_.give_back(job, choice);
+      chooser_.release(job, choice);
       return;
     }
     holder_ = true;
@@ -157,7 +159,7 @@
 
   // Stops replicas on machines that are about to go, once there is room for them elsewhere.
   void move_replicas(Plan& out) {
-    for (const ReplicaMove& move : replicas_to_move(view_.cluster())) {
+    for (const ReplicaMigration& move : replicas_to_migrate(view_.cluster())) {
       Job& job = *view_.cluster().job(move.job);
       const PlacementPolicy policy{job.spec.priority, true};
       const Choice choice = chooser_.choose(job, {move.task}, policy);
@@ -167,14 +169,14 @@
         continue;
       }
       const std::string& target = choice.front().first->machine->name;
-      holds_.reserve(job.id(), needs_of(job.spec), target, 1, now_ + limits_.hold_s);
+      holds_.reserve(job.id(), needs_of(job.spec), target, 1, now_ + limits_.reservation_limit_s);
       out.moves.push_back(move);
     }
   }
 
-  GangHolds& holds_;
+  GangReservations& holds_;
   Seconds now_;
-  const PlanLimits& limits_;
+  const CycleLimits& limits_;
   CycleView view_;
   MachineChooser chooser_;
   Preemptor preemptor_;
@@ -188,11 +190,11 @@
 
 }  // namespace
 
-Plan plan(ClusterState& cluster, GangHolds& holds, Seconds now, const PlanLimits& limits) {
+Plan plan(ClusterState& cluster, GangReservations& holds, Seconds now, const CycleLimits& limits) {
   for (const auto& id : holds.expire(now)) {
     // An expired gang queues again and reserves anew after the others have had their turn.
     Job* job = cluster.job(id);
-    if (job != nullptr && job->spec.is_gang()) job->retry_at = now + limits.hold_s / 4;
+    if (job != nullptr && job->spec.is_gang()) job->retry_at = now + limits.reservation_limit_s / 4;
   }
   return SchedulingCycle(cluster, holds, now, limits).run();
 }
--- a/src/coordination/planner.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -5,11 +5,11 @@
 #include <string>
 #include <vector>
 
-#include "coordination/cluster_state.hpp"
-#include "coordination/gang_holds.hpp"
-#include "coordination/preemption.hpp"
-#include "coordination/replica_moves.hpp"
-#include "coordination/work_order.hpp"
+#include "coordination/cluster_state/cluster_state.hpp"
+#include "coordination/scheduling/gang_reservations.hpp"
+#include "coordination/scheduling/job_queue.hpp"
+#include "coordination/scheduling/preemption.hpp"
+#include "coordination/scheduling/replica_migration.hpp"
 
 namespace larkroad::coordination {
 
@@ -19,9 +19,9 @@
   std::vector<std::pair<std::uint32_t, std::string>> tasks;  // task and machine
 };
 
-struct PlanLimits {
-  Seconds hold_s = 20;
-  Seconds start_bound_s = 0;  // 0: none, see order_of_work
+struct CycleLimits {
+  Seconds reservation_limit_s = 20;
+  Seconds start_bound_s = 0;  // 0: none, see order_jobs
   std::function<bool()> out_of_time = [] { return false; };
   // The caller is overloaded: work of low priority is not placed, unless it has waited for long.
   bool defers_low = false;
@@ -31,12 +31,12 @@
 struct Plan {
   std::vector<Assignment> assignments;
   std::vector<Preemption> preemptions;
-  std::vector<ReplicaMove> moves;
+  std::vector<ReplicaMigration> moves;
   size_t stopped_at = 0;  // not 0: time ran out, and the next cycle goes on from here
   size_t looked_at = 0;   // machines, once for each job that considered them: what a cycle costs
 };
 
 // Decides one scheduling cycle. Does not change the cluster: the caller places what is assigned.
-Plan plan(ClusterState& cluster, GangHolds& holds, Seconds now, const PlanLimits& limits);
+Plan plan(ClusterState& cluster, GangReservations& holds, Seconds now, const CycleLimits& limits);
 
 }  // namespace larkroad::coordination
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -3,7 +3,7 @@
 #include <cstdlib>
 #include <iostream>
 
-#include "coordination/node.hpp"
+#include "coordination/controller/controller.hpp"
 #include "log.hpp"
 #include "settings.hpp"
 #include "transport/asio_clock.hpp"
@@ -24,8 +24,8 @@
   Settings settings = load_settings(config);
   if (!operators.empty()) settings.operators = load_operators(operators);
   init_logging(std::getenv("LOG_LEVEL"), settings.member);
-  spdlog::info("larkroad {} of {} controllers, zone {}", settings.member, settings.node_count(),
-               settings.zone);
+  spdlog::info("larkroad {} of {} controllers, zone {}", settings.member,
+               settings.controller_count(), settings.zone);
   const auto limit = [](double most) {
     return most < kNoLimit ? fmt::format("{}", most) : "any number";
   };
@@ -40,7 +40,7 @@
     return static_cast<size_t>(std::max(4.0, settings.sockets * part));
   };
   transport::HttpClient client(io, clock, sockets(kOutgoingSockets));
-  coordination::Node node(clock, client, settings);
+  coordination::Controller node(clock, client, settings);
   transport::HttpServer users(io, clock, settings.client_listen, sockets(kClientSockets),
                               [&node](transport::Request request, transport::Respond respond) {
                                 node.handle_client(std::move(request), std::move(respond));
--- a/src/protocol/cloud.cpp
+++ b/src/protocol/cloud_messages.cpp
@@ -1,4 +1,4 @@
-#include "protocol/cloud.hpp"
+#include "protocol/cloud_messages.hpp"
 
 namespace larkroad::protocol {
 
--- a/src/protocol/cloud.hpp
+++ b/src/protocol/cloud_messages.hpp
@@ -33,8 +33,8 @@
   bool spot = false;
   int count = 1;
 };
-inline constexpr int kMostRented = 50;
-inline constexpr int kMostReturned = 100;
+inline constexpr int kMaxRentalCount = 50;
+inline constexpr int kMaxReturnCount = 100;
 
 std::string encode_rental(const RentalRequest& request);
 std::string encode_return(const std::vector<std::string>& machines);
--- a/src/protocol/jobs.cpp
+++ b/src/protocol/job_messages.cpp
@@ -1,4 +1,4 @@
-#include "protocol/jobs.hpp"
+#include "protocol/job_messages.hpp"
 
 #include <algorithm>
 #include <array>
@@ -80,7 +80,7 @@
   if (!priority) throw Malformed("rank is unknown");
   spec.priority = *priority;
   const std::uint64_t tasks = integer(body, "legs");
-  if (tasks < 1 || tasks > kMostTasks) throw Malformed("legs is out of range");
+  if (tasks < 1 || tasks > kMaxTasksPerJob) throw Malformed("legs is out of range");
   spec.tasks = static_cast<std::uint32_t>(tasks);
   spec.cpus = amount(body, "cores");
   if (spec.cpus <= 0) throw Malformed("cores is out of range");
--- a/src/protocol/jobs.hpp
+++ b/src/protocol/job_messages.hpp
@@ -50,7 +50,7 @@
   bool is_service() const { return shape == Shape::service; }
 };
 
-inline constexpr std::uint32_t kMostTasks = 100'000;
+inline constexpr std::uint32_t kMaxTasksPerJob = 100'000;
 
 bool valid_job_id(const std::string& id);
 
--- a/src/protocol/relay.hpp
+++ b/src/protocol/relay_messages.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "protocol/json.hpp"
-#include "protocol/workers.hpp"
+#include "protocol/worker_messages.hpp"
 
 namespace larkroad::protocol {
 
@@ -15,20 +15,20 @@
 
 // A worker's report as a relay hands it on: in the worker's own words, or, when it says the same as
 // an earlier one that the leader has answered, by its session and tick and the earlier one's tick.
-struct RelayedReport {
-  std::string words;  // empty: the same as the report of tick `base`, or in short
+struct RelayedHeartbeat {
+  std::string payload;  // empty: the same as the report of tick `base_sequence`, or in short
   std::string machine;
-  std::uint64_t session = 0;
-  std::uint64_t tick = 0;
-  std::uint64_t base = 0;
+  std::uint64_t incarnation = 0;
+  std::uint64_t sequence = 0;
+  std::uint64_t base_sequence = 0;
   // In short, where room is scarce; in place of the words.
-  std::optional<Report> report{};
+  std::optional<Heartbeat> heartbeat{};
 };
 
 struct RelayBatch {
-  std::string member;       // who relays
-  std::uint64_t token = 0;  // of the leader it is meant for
-  std::vector<RelayedReport> reports;
+  std::string member;               // who relays
+  std::uint64_t fencing_token = 0;  // of the leader it is meant for
+  std::vector<RelayedHeartbeat> heartbeats;
 };
 
 // The leader's answer to one of the reports, as the worker is to get it.
@@ -37,7 +37,7 @@
   std::string body;
 };
 // Not for the worker: the leader does not have the report that this one is said to be the same as.
-inline constexpr int kNeedsWords = 412;
+inline constexpr int kNeedsPayload = 412;
 
 std::string encode_batch(const RelayBatch& batch);
 RelayBatch parse_batch(const std::string& body);  // throws Malformed
@@ -48,7 +48,7 @@
 std::vector<RelayedAnswer> parse_batch_answers(const std::string& body);  // throws Malformed
 
 // A batch refused for its token tells the right one.
-std::string encode_token(std::uint64_t token);
-std::uint64_t parse_token(const std::string& body);  // throws Malformed
+std::string encode_fencing_token(std::uint64_t fencing_token);
+std::uint64_t parse_fencing_token(const std::string& body);  // throws Malformed
 
 }  // namespace larkroad::protocol
--- a/src/protocol/workers.cpp
+++ b/src/protocol/worker_messages.cpp
@@ -1,4 +1,4 @@
-#include "protocol/workers.hpp"
+#include "protocol/worker_messages.hpp"
 
 #include <algorithm>
 #include <array>
@@ -49,15 +49,15 @@
   Json calls = Json::array();
   for (const auto& command : commands) {
     Json call{{"leg", command.id.text()}, {"try", command.attempt}};
-    switch (command.op) {
-      case Op::launch:
+    switch (command.type) {
+      case CommandType::launch:
         call["call"] = "launch";
         break;
-      case Op::kill:
+      case CommandType::kill:
         call["call"] = "kill";
         call["slackS"] = command.grace_s;
         break;
-      case Op::forget:
+      case CommandType::forget:
         call["call"] = "forget";
         break;
     }
@@ -75,50 +75,52 @@
   return "none";
 }
 
-bool unchanged(const Report& a, const Report& b) {
-  const auto said = [](const Report& r) {
-    return std::tie(r.machine, r.session, r.token, r.tasks, r.notice_s, r.address, r.type, r.zone,
-                    r.spot);
+bool unchanged(const Heartbeat& a, const Heartbeat& b) {
+  const auto said = [](const Heartbeat& r) {
+    return std::tie(r.machine, r.incarnation, r.fencing_token, r.tasks, r.reclaim_notice_s,
+                    r.address, r.type, r.zone, r.spot);
   };
   return said(a) == said(b);
 }
 
-Report parse_report(const std::string& body) {
+Heartbeat parse_heartbeat(const std::string& body) {
   const Json json = parse_object(body);
-  Report report;
-  report.machine = text(json, "perch");
-  report.address = text(json, "address");
-  report.type = text(json, "breed");
-  report.zone = text(json, "yard");
-  report.spot = boolean(json, "loaners");
-  report.session = integer(json, "flight");
-  report.tick = integer(json, "tick");
-  report.token = integer(json, "baton");
-  if (find(json, "recallS") != nullptr) report.notice_s = amount(json, "recallS", -1e9);
+  Heartbeat heartbeat;
+  heartbeat.machine = text(json, "perch");
+  heartbeat.address = text(json, "address");
+  heartbeat.type = text(json, "breed");
+  heartbeat.zone = text(json, "yard");
+  heartbeat.spot = boolean(json, "loaners");
+  heartbeat.incarnation = integer(json, "flight");
+  heartbeat.sequence = integer(json, "tick");
+  heartbeat.fencing_token = integer(json, "baton");
+  if (find(json, "recallS") != nullptr) heartbeat.reclaim_notice_s = amount(json, "recallS", -1e9);
   for (const Json& leg : array(json, "legs")) {
     if (!leg.is_object()) throw Malformed("legs must be a list of objects");
-    TaskReport task;
+    TaskStatus task;
     task.id = parse_task_id(text(leg, "leg"));
     task.attempt = integer(leg, "try");
     task.state = lookup(kStates, text(leg, "stage"), "stage");
     if (task.state == TaskState::exited) task.cause = lookup(kCauses, text(leg, "cause"), "cause");
     if (find(leg, "saved") != nullptr) task.saved = boolean(leg, "saved");
-    report.tasks.push_back(std::move(task));
+    heartbeat.tasks.push_back(std::move(task));
   }
-  return report;
+  return heartbeat;
 }
 
-std::string encode_report_answer(std::uint64_t token, const std::vector<Command>& commands) {
-  return Json{{"baton", token}, {"calls", encode_calls(commands)}}.dump();
+std::string encode_heartbeat_response(std::uint64_t fencing_token,
+                                      const std::vector<Command>& commands) {
+  return Json{{"baton", fencing_token}, {"calls", encode_calls(commands)}}.dump();
 }
 
 std::string encode_redirect(const std::string& leader) {
   return leader.empty() ? "{}" : Json{{"home", leader}}.dump();
 }
 
-std::string encode_commands(std::uint64_t token, std::uint64_t session,
+std::string encode_commands(std::uint64_t fencing_token, std::uint64_t incarnation,
                             const std::vector<Command>& commands) {
-  return Json{{"baton", token}, {"flight", session}, {"calls", encode_calls(commands)}}.dump();
+  return Json{{"baton", fencing_token}, {"flight", incarnation}, {"calls", encode_calls(commands)}}
+      .dump();
 }
 
 }  // namespace larkroad::protocol
--- a/src/protocol/workers.hpp
+++ b/src/protocol/worker_messages.hpp
@@ -22,48 +22,49 @@
   std::string text() const { return job + "/" + std::to_string(task); }
 };
 
-struct TaskReport {
+struct TaskStatus {
   TaskId id;
   std::uint64_t attempt = 0;
   TaskState state = TaskState::fetching;
   ExitCause cause = ExitCause::none;
   bool saved = false;
-  bool operator==(const TaskReport&) const = default;
+  bool operator==(const TaskStatus&) const = default;
 };
 
-struct Report {
+struct Heartbeat {
   std::string machine;
   std::string address;
   std::string type;
   std::string zone;
   bool spot = false;
-  std::uint64_t session = 0;
-  std::uint64_t tick = 0;
-  std::uint64_t token = 0;  // the highest the worker has seen
-  std::optional<double> notice_s;
-  std::vector<TaskReport> tasks;
+  std::uint64_t incarnation = 0;
+  std::uint64_t sequence = 0;
+  std::uint64_t fencing_token = 0;  // the highest the worker has seen
+  std::optional<double> reclaim_notice_s;
+  std::vector<TaskStatus> tasks;
 };
 
 // Whether two reports of one session say the same but for when they were made.
-bool unchanged(const Report& a, const Report& b);
+bool unchanged(const Heartbeat& a, const Heartbeat& b);
 
 // Throws Malformed.
-Report parse_report(const std::string& body);
+Heartbeat parse_heartbeat(const std::string& body);
 
-enum class Op { launch, kill, forget };
+enum class CommandType { launch, kill, forget };
 struct Command {
-  Op op = Op::launch;
+  CommandType type = CommandType::launch;
   TaskId id;
   std::uint64_t attempt = 0;
   double grace_s = 0;  // kill only
 };
 
-std::string encode_report_answer(std::uint64_t token, const std::vector<Command>& commands);
+std::string encode_heartbeat_response(std::uint64_t fencing_token,
+                                      const std::vector<Command>& commands);
 std::string encode_redirect(const std::string& leader);  // empty: not known
-std::string encode_commands(std::uint64_t token, std::uint64_t session,
+std::string encode_commands(std::uint64_t fencing_token, std::uint64_t incarnation,
                             const std::vector<Command>& commands);
 
-inline constexpr const char* kReportPath = "/checkin";
+inline constexpr const char* kHeartbeatPath = "/checkin";
 inline constexpr const char* kCommandsPath = "/do";
 inline constexpr const char* kInspectPath = "/inspect";
 
