--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -173,34 +173,34 @@
 
 namespace {
 
-StateLimits parse_state_limits(const Section& state) {
-  StateLimits out;
+StoreLimits parse_state_limits(const Section& state) {
+  StoreLimits out;
   out.rps = state.positive("rps");
   out.write_rps = state.positive("write_rps");
   out.value_kb = state.positive("value_kb");
-  out.txn_ops = state.count("txn_ops");
+  out.max_transaction_changes = state.count("txn_ops");
   return out;
 }
 
 // What is not named stays as it is at present.
-StateLimits parse_next_state_limits(const Section& state, const StateLimits& present) {
+StoreLimits parse_next_store_limits(const Section& state, const StoreLimits& present) {
   if (!state.contains("next")) return present;
   const Section next = state.section("next");
-  StateLimits out = present;
+  StoreLimits out = present;
   if (next.contains("rps")) out.rps = next.positive("rps");
   if (next.contains("write_rps")) out.write_rps = next.positive("write_rps");
   if (next.contains("value_kb")) out.value_kb = next.positive("value_kb");
-  if (next.contains("txn_ops")) out.txn_ops = next.count("txn_ops");
+  if (next.contains("txn_ops")) out.max_transaction_changes = next.count("txn_ops");
   return out;
 }
 
 }  // namespace
 
-StateLimits Settings::lasting_state_limits() const {
-  return {std::min(state_limits.value_kb, next_state_limits.value_kb),
-          std::min(state_limits.txn_ops, next_state_limits.txn_ops),
-          std::min(state_limits.write_rps, next_state_limits.write_rps),
-          std::min(state_limits.rps, next_state_limits.rps)};
+StoreLimits Settings::lasting_store_limits() const {
+  return {std::min(store_limits.value_kb, next_store_limits.value_kb),
+          std::min(store_limits.max_transaction_changes, next_store_limits.max_transaction_changes),
+          std::min(store_limits.write_rps, next_store_limits.write_rps),
+          std::min(store_limits.rps, next_store_limits.rps)};
 }
 
 Settings parse_settings(const std::string& toml_text) {
@@ -251,20 +251,20 @@
     s.objectives.push_back(std::move(o));
   }
   const auto workers = cluster.section("workers");
-  s.report_s = workers.positive("report_s");
+  s.heartbeat_interval_s = workers.positive("report_s");
   s.lease_s = workers.positive("lease_s");
   s.gang_wait_s = workers.positive("gang_wait_s");
   s.gang_peer_s = workers.positive("gang_peer_s");
-  s.cancel_s = workers.positive("cancel_s");
-  if (s.lease_s <= s.report_s) {
+  s.cancellation_limit_s = workers.positive("cancel_s");
+  if (s.lease_s <= s.heartbeat_interval_s) {
     fail(workers.name("lease_s"), "must be greater than " + workers.name("report_s"));
   }
-  if (s.cancel_s <= s.lease_s) {
+  if (s.cancellation_limit_s <= s.lease_s) {
     fail(workers.name("cancel_s"), "must be greater than " + workers.name("lease_s"));
   }
   const auto state = cluster.section("state");
-  s.state_limits = parse_state_limits(state);
-  s.next_state_limits = parse_next_state_limits(state, s.state_limits);
+  s.store_limits = parse_state_limits(state);
+  s.next_store_limits = parse_next_store_limits(state, s.store_limits);
   const auto cloud = cluster.section("cloud");
   s.cloud_rps = cloud.positive("rps");
   s.list_lag_s = cloud.number("list_lag_s", 0);
@@ -285,7 +285,8 @@
   if (table.contains("gangs")) {
     const Section gangs = root.section("gangs");
     refuse_unknown(gangs, {"hold_s"});
-    if (table["gangs"].as_table()->contains("hold_s")) s.hold_s = gangs.positive("hold_s");
+    if (table["gangs"].as_table()->contains("hold_s"))
+      s.reservation_limit_s = gangs.positive("hold_s");
   }
   if (table.contains("starts")) {
     const Section starts = root.section("starts");
--- a/src/settings.hpp
+++ b/src/settings.hpp
@@ -45,18 +45,18 @@
 };
 
 // Limits of the state service on what is written there.
-struct StateLimits {
-  double value_kb = 0;   // of one value
-  int txn_ops = 0;       // writes and deletes of one transaction
-  double write_rps = 0;  // writes and deletes in a second, of all controllers together
-  double rps = 0;        // requests in a second, of all controllers together
+struct StoreLimits {
+  double value_kb = 0;              // of one value
+  int max_transaction_changes = 0;  // writes and deletes of one transaction
+  double write_rps = 0;             // writes and deletes in a second, of all controllers together
+  double rps = 0;                   // requests in a second, of all controllers together
 
   double value_bytes() const { return value_kb * 1024; }
 };
 
 // The operators' own settings, from a file beside the platform's; each has a default.
 struct OperatorSettings {
-  double hold_s = 20;          // how long a gang may hold room while it lacks some
+  double reservation_limit_s = 20;  // how long a gang may hold room while it lacks some
   double start_bound_s = 240;  // triage delays no job's start past this, if there is room at all
 };
 
@@ -74,15 +74,15 @@
   std::vector<TeamSettings> teams;
   std::vector<Objective> objectives;
 
-  double report_s = 0;
+  double heartbeat_interval_s = 0;
   double lease_s = 0;
   double gang_wait_s = 0;
   double gang_peer_s = 0;
-  double cancel_s = 0;
+  double cancellation_limit_s = 0;
 
-  StateLimits state_limits;  // at present
+  StoreLimits store_limits;  // at present
   // Those that come into force at a moment that is not known; without any, the same as at present.
-  StateLimits next_state_limits;
+  StoreLimits next_store_limits;
 
   double cloud_rps = 0;
   double list_lag_s = 0;
@@ -96,8 +96,8 @@
   const TeamSettings* team(const std::string& name) const;
   // The smaller of the present and the next limits, by which all that is written must go: a record
   // outlives the moment at which the limits change.
-  StateLimits lasting_state_limits() const;
-  size_t node_count() const { return peers.size() + 1; }
+  StoreLimits lasting_store_limits() const;
+  size_t controller_count() const { return peers.size() + 1; }
 };
 
 // Throws SettingsError that names the field at fault.
--- a/src/storage/job_view.cpp
+++ b/src/storage/job_cache.cpp
@@ -1,10 +1,10 @@
-#include "storage/job_view.hpp"
+#include "storage/job_cache.hpp"
 
 #include "storage/records.hpp"
 
 namespace larkroad::storage {
 
-void JobView::fresh(std::function<void(Status)> done) {
+void JobCache::fresh(std::function<void(Status)> done) {
   waiting_.push_back(std::move(done));
   if (asking_) return;
   asking_ = true;
@@ -12,12 +12,12 @@
   clock_.after(pause_, [this] { ask(); });
 }
 
-const JobView::Seen* JobView::find(const std::string& id) const {
+const JobCache::Seen* JobCache::find(const std::string& id) const {
   const auto it = jobs_.find(job_key(id));
   return it == jobs_.end() ? nullptr : &it->second;
 }
 
-void JobView::ask() {
+void JobCache::ask() {
   // The call is sent after all of these have asked, so its answer is no older than any of them.
   asked_ = std::move(waiting_);
   waiting_.clear();
@@ -26,12 +26,12 @@
     list("");
     return;
   }
-  state_.watch(
+  store_.watch(
       kJobPrefix, revision_, 0,
       [this](WatchReply reply) {
         if (reply.status == Status::ok) {
           for (const auto& event : reply.events) {
-            if (event.dropped) {
+            if (event.deleted) {
               jobs_.erase(event.key);
             } else {
               put(event.key, event.data);
@@ -46,11 +46,11 @@
         }
         answer(reply.status);
       },
-      Use::user);
+      RequestPriority::user);
 }
 
-void JobView::list(const std::string& after) {
-  state_.list(
+void JobCache::list(const std::string& after) {
+  store_.list(
       kJobPrefix, after,
       [this](ListReply reply) {
         if (reply.status != Status::ok) {
@@ -67,15 +67,15 @@
           answer(Status::ok);
         }
       },
-      Use::user);
+      RequestPriority::user);
 }
 
-void JobView::put(const std::string& key, const Json& data) {
+void JobCache::put(const std::string& key, const Json& data) {
   const Json* cancelled = protocol::find(data, "cancelled");
   jobs_[key] = {cancelled != nullptr && cancelled->is_boolean() && cancelled->get<bool>()};
 }
 
-void JobView::answer(Status status) {
+void JobCache::answer(Status status) {
   const auto asked = std::move(asked_);
   asked_.clear();
   asking_ = false;
--- a/src/storage/job_view.hpp
+++ b/src/storage/job_cache.hpp
@@ -7,14 +7,14 @@
 #include <unordered_map>
 #include <vector>
 
-#include "storage/state_client.hpp"
+#include "storage/key_value_client.hpp"
 
 namespace larkroad::storage {
 
-class JobView {
+class JobCache {
  public:
-  JobView(transport::Clock& clock, StateClient& state, const Settings& settings)
-      : clock_(clock), state_(state), pause_(settings.report_s / 200) {}
+  JobCache(transport::Clock& clock, KeyValueClient& store, const Settings& settings)
+      : clock_(clock), store_(store), pause_(settings.heartbeat_interval_s / 200) {}
 
   // Calls back when the view holds all that was recorded by now; with another status than `ok` when
   // that cannot be had.
@@ -33,7 +33,7 @@
   void put(const std::string& key, const Json& data);
 
   transport::Clock& clock_;
-  StateClient& state_;
+  KeyValueClient& store_;
   Seconds pause_;
   std::unordered_map<std::string, Seen> jobs_;  // by key
   std::uint64_t revision_ = 0;                  // 0: must be read anew
--- a/src/storage/state_client.cpp
+++ b/src/storage/key_value_client.cpp
@@ -1,4 +1,4 @@
-#include "storage/state_client.hpp"
+#include "storage/key_value_client.hpp"
 
 #include <algorithm>
 
@@ -42,50 +42,50 @@
 
 }  // namespace
 
-struct Settlement {
+struct CertainCommit {
   Transaction txn;
   std::function<bool()> wanted;
   std::function<void(CommitReply)> done;
-  Use use = Use::work;
+  RequestPriority priority = RequestPriority::scheduling;
   bool in_doubt = false;
   int tries = 0;
 };
 
-StateClient::StateClient(transport::Clock& clock, transport::Client& client,
-                         const Settings& settings)
+KeyValueClient::KeyValueClient(transport::Clock& clock, transport::Client& client,
+                               const Settings& settings)
     : clock_(clock),
       client_(client),
       endpoint_(settings.state.text()),
-      present_limits_(settings.state_limits),
-      lasting_limits_(settings.lasting_state_limits()),
-      limits_(settings.state_limits),
+      present_limits_(settings.store_limits),
+      lasting_limits_(settings.lasting_store_limits()),
+      limits_(settings.store_limits),
       lowered_for_(settings.lease_s),
       // Well above the few hundred milliseconds a slow answer takes, well below the lease.
       timeout_(std::clamp(settings.lease_s / 16, 0.5, 2.0)),
       refilled_at_(clock.now()) {
-  const double equal = 1.0 / static_cast<double>(settings.node_count());
+  const double equal = 1.0 / static_cast<double>(settings.controller_count());
   set_share(equal, equal);
-  tokens_ = limits_.rps * share_ / 2;
-  write_tokens_ = limits_.write_rps * write_share_ / 2;
+  request_budget_ = limits_.rps * share_ / 2;
+  write_budget_ = limits_.write_rps * write_share_ / 2;
 }
 
-void StateClient::set_share(double requests, double writes) {
+void KeyValueClient::set_share(double requests, double writes) {
   share_ = requests * kShareUsed;
   write_share_ = writes * kShareUsed;
 }
 
-Seconds StateClient::failing_for() const {
+Seconds KeyValueClient::failing_for() const {
   return failing_since_ < 0 ? 0 : std::max(1e-9, clock_.now() - failing_since_);
 }
 
-bool StateClient::worth_trying() {
+bool KeyValueClient::worth_trying() {
   if (failing_for() < timeout_) return true;
   if (clock_.now() - probed_at_ < timeout_ / 4) return false;
   probed_at_ = clock_.now();
   return true;
 }
 
-void StateClient::note(bool answered) {
+void KeyValueClient::note(bool answered) {
   if (answered) {
     failing_since_ = -1;
     answered_ever_ = true;
@@ -96,7 +96,7 @@
 
 // Which limits are in force is not told; a refusal shows that the next ones may be. Other things
 // bring refusals too, such as two leaders in turn, so the present limits are tried again later.
-void StateClient::lower_limits() {
+void KeyValueClient::lower_limits() {
   const bool differs = lasting_limits_.write_rps < present_limits_.write_rps ||
                        lasting_limits_.rps < present_limits_.rps;
   if (!differs || clock_.now() < lowered_until_) return;
@@ -105,32 +105,33 @@
   limits_ = lasting_limits_;
   lowered_until_ = clock_.now() + lowered_for_;
   lowered_for_ *= 2;
-  tokens_ = std::min(tokens_, 0.0);
-  write_tokens_ = std::min(write_tokens_, 0.0);
+  request_budget_ = std::min(request_budget_, 0.0);
+  write_budget_ = std::min(write_budget_, 0.0);
 }
 
-void StateClient::refill() {
+void KeyValueClient::refill() {
   const Seconds now = clock_.now();
   if (now >= lowered_until_) limits_ = present_limits_;
   const double passed = now - refilled_at_;
   refilled_at_ = now;
-  tokens_ = std::min(tokens_ + passed * limits_.rps * share_, limits_.rps * share_);
-  write_tokens_ = std::min(write_tokens_ + passed * limits_.write_rps * write_share_,
+  request_budget_ = std::min(request_budget_ + passed * limits_.rps * share_, limits_.rps * share_);
+  write_budget_ = std::min(write_budget_ + passed * limits_.write_rps * write_share_,
                            limits_.write_rps * write_share_);
 }
 
-void StateClient::submit(transport::Request request, Seconds timeout, double changes, Use use,
-                         std::function<void(Status, transport::Response)> done) {
+void KeyValueClient::submit(transport::Request request, Seconds timeout, double changes,
+                            RequestPriority priority,
+                            std::function<void(Status, transport::Response)> done) {
   Call call{std::move(request), timeout, changes, clock_.now(), std::move(done)};
   refill();
-  if (use == Use::lease) {
+  if (priority == RequestPriority::lease) {
     // A lease renewal never waits for its turn; what it takes is missing to the others.
-    tokens_ -= 1;
-    write_tokens_ -= changes;
+    request_budget_ -= 1;
+    write_budget_ -= changes;
     send(std::move(call));
     return;
   }
-  auto& queue = waiting_[{use, changes > 0}];
+  auto& queue = waiting_[{priority, changes > 0}];
   if (static_cast<double>(queue.size()) > limits_.rps * share_ * kLongestQueue) {
     clock_.after(0, [done = std::move(call.done)] { done(Status::unavailable, {}); });
     return;
@@ -139,7 +140,7 @@
   pump();
 }
 
-void StateClient::pump() {
+void KeyValueClient::pump() {
   refill();
   bool short_of_requests = false;
   bool short_of_writes = false;
@@ -148,11 +149,11 @@
       Call& next = queue.front();
       // A transaction larger than the whole bucket goes once the bucket is full.
       const double changes = std::min(next.changes, limits_.write_rps * write_share_);
-      short_of_requests = short_of_requests || tokens_ < 1;
-      short_of_writes = short_of_writes || (changes > 0 && write_tokens_ < changes);
+      short_of_requests = short_of_requests || request_budget_ < 1;
+      short_of_writes = short_of_writes || (changes > 0 && write_budget_ < changes);
       if (!short_of_requests && !(changes > 0 && short_of_writes)) {
-        tokens_ -= 1;
-        write_tokens_ -= next.changes;
+        request_budget_ -= 1;
+        write_budget_ -= next.changes;
         Call call = std::move(next);
         queue.pop_front();
         send(std::move(call));
@@ -160,7 +161,7 @@
       }
       // Users are told to come back; all other calls keep their place in the queue. When they lost
       // it, large transactions never had their turn beside a backlog of small ones.
-      const bool somebody_waits = rank.first == Use::user;
+      const bool somebody_waits = rank.first == RequestPriority::user;
       if (!somebody_waits || clock_.now() - next.queued_at <= kLongestQueue * 2) break;
       auto done = std::move(next.done);
       queue.pop_front();
@@ -176,7 +177,7 @@
   }
 }
 
-void StateClient::send(Call call) {
+void KeyValueClient::send(Call call) {
   client_.call(
       endpoint_, std::move(call.request), call.timeout,
       [this, done = std::move(call.done)](transport::Outcome outcome,
@@ -191,8 +192,9 @@
       });
 }
 
-void StateClient::get(const std::string& key, std::function<void(Status, Entry)> done, Use use) {
-  submit({"GET", "/store/" + key, ""}, timeout_, 0, use,
+void KeyValueClient::get(const std::string& key, std::function<void(Status, Entry)> done,
+                         RequestPriority priority) {
+  submit({"GET", "/store/" + key, ""}, timeout_, 0, priority,
          [done = std::move(done)](Status status, transport::Response response) {
            Entry entry;
            if (status == Status::ok) {
@@ -207,11 +209,11 @@
          });
 }
 
-void StateClient::list(const std::string& prefix, const std::string& after,
-                       std::function<void(ListReply)> done, Use use) {
+void KeyValueClient::list(const std::string& prefix, const std::string& after,
+                          std::function<void(ListReply)> done, RequestPriority priority) {
   std::string target = "/store?starts=" + prefix + "&limit=1000";
   if (!after.empty()) target += "&since=" + after;
-  submit({"GET", target, ""}, timeout_ * 4, 0, use,
+  submit({"GET", target, ""}, timeout_ * 4, 0, priority,
          [done = std::move(done)](Status status, transport::Response response) {
            ListReply reply;
            reply.status = status;
@@ -232,19 +234,21 @@
          });
 }
 
-void StateClient::commit(const Transaction& txn, std::function<void(CommitReply)> done, Use use) {
+void KeyValueClient::commit(const Transaction& txn, std::function<void(CommitReply)> done,
+                            RequestPriority priority) {
   Json guards = Json::array();
-  for (const auto& guard : txn.guards) guards.push_back({{"k", guard.key}, {"mark", guard.mark}});
+  for (const auto& guard : txn.preconditions)
+    guards.push_back({{"k", guard.key}, {"mark", guard.revision}});
   Json apply = Json::array();
   for (const auto& write : txn.writes) {
     Json item{{"write", write.key}, {"data", write.data}};
     if (write.lease) item["hold"] = *write.lease;
     apply.push_back(std::move(item));
   }
-  for (const auto& key : txn.drops) apply.push_back({{"drop", key}});
+  for (const auto& key : txn.deletes) apply.push_back({{"drop", key}});
   std::string body = Json{{"guards", std::move(guards)}, {"apply", std::move(apply)}}.dump();
-  submit({"POST", "/commit", std::move(body)}, timeout_, static_cast<double>(txn.changes()), use,
-         [this, done = std::move(done)](Status status, transport::Response response) {
+  submit({"POST", "/commit", std::move(body)}, timeout_, static_cast<double>(txn.changes()),
+         priority, [this, done = std::move(done)](Status status, transport::Response response) {
            CommitReply reply;
            reply.status = status;
            try {
@@ -269,13 +273,14 @@
          });
 }
 
-void StateClient::settle(Transaction txn, std::function<bool()> wanted,
-                         std::function<void(CommitReply)> done, Use use) {
-  try_settle(std::make_shared<Settlement>(
-      Settlement{std::move(txn), std::move(wanted), std::move(done), use}));
+void KeyValueClient::commit_until_certain(Transaction txn, std::function<bool()> wanted,
+                                          std::function<void(CommitReply)> done,
+                                          RequestPriority priority) {
+  try_commit_until_certain(std::make_shared<CertainCommit>(
+      CertainCommit{std::move(txn), std::move(wanted), std::move(done), priority}));
 }
 
-void StateClient::try_settle(std::shared_ptr<Settlement> job) {
+void KeyValueClient::try_commit_until_certain(std::shared_ptr<CertainCommit> job) {
   commit(
       job->txn,
       [this, job](CommitReply reply) {
@@ -285,7 +290,7 @@
             return;
           }
           const Seconds pause = std::min(0.05 * (1 << std::min(job->tries++, 4)), 0.5);
-          clock_.after(pause, [this, job] { try_settle(job); });
+          clock_.after(pause, [this, job] { try_commit_until_certain(job); });
         };
         switch (reply.status) {
           case Status::unknown:
@@ -299,8 +304,8 @@
             // Had it been carried out, the key of its first write would have changed. What stands
             // there unchanged may be the same words, but of an earlier write.
             if (!job->in_doubt || job->txn.writes.empty() ||
-                (job->txn.guarded(job->txn.writes.front().key) &&
-                 !reply.failed_on(job->txn.writes.front().key))) {
+                (job->txn.has_precondition_on(job->txn.writes.front().key) &&
+                 !reply.failed_machines(job->txn.writes.front().key))) {
               job->done(std::move(reply));
               return;
             }
@@ -310,26 +315,26 @@
                 first.key,
                 [job, reply, again](Status status, Entry entry) {
                   if (status == Status::ok && entry.data == job->txn.writes.front().data) {
-                    job->done({Status::ok, entry.mark, {}});
+                    job->done({Status::ok, entry.revision, {}});
                   } else if (status == Status::ok || status == Status::missing) {
                     job->done(reply);
                   } else {
                     again();
                   }
                 },
-                job->use);
+                job->priority);
             return;
           }
           default:
             job->done(std::move(reply));
         }
       },
-      job->use);
+      job->priority);
 }
 
-void StateClient::grant(Seconds life, std::function<void(Status, std::uint64_t)> done) {
+void KeyValueClient::grant(Seconds life, std::function<void(Status, std::uint64_t)> done) {
   const auto life_ms = static_cast<std::uint64_t>(std::clamp(life * 1000, 100.0, 600'000.0));
-  submit({"POST", "/grants", Json{{"lifeMs", life_ms}}.dump()}, timeout_, 0, Use::lease,
+  submit({"POST", "/grants", Json{{"lifeMs", life_ms}}.dump()}, timeout_, 0, RequestPriority::lease,
          [done = std::move(done)](Status status, transport::Response response) {
            std::uint64_t lease = 0;
            if (status == Status::ok) {
@@ -344,21 +349,22 @@
          });
 }
 
-void StateClient::extend(std::uint64_t lease, std::function<void(Status)> done) {
-  submit({"POST", "/grants/" + std::to_string(lease) + "/extend", ""}, timeout_, 0, Use::lease,
+void KeyValueClient::extend(std::uint64_t lease, std::function<void(Status)> done) {
+  submit({"POST", "/grants/" + std::to_string(lease) + "/extend", ""}, timeout_, 0,
+         RequestPriority::lease,
          [done = std::move(done)](Status status, const transport::Response&) { done(status); });
 }
 
-void StateClient::release(std::uint64_t lease) {
-  submit({"DELETE", "/grants/" + std::to_string(lease), ""}, timeout_, 0, Use::work,
-         [](Status, const transport::Response&) {});
+void KeyValueClient::release(std::uint64_t lease) {
+  submit({"DELETE", "/grants/" + std::to_string(lease), ""}, timeout_, 0,
+         RequestPriority::scheduling, [](Status, const transport::Response&) {});
 }
 
-void StateClient::watch(const std::string& prefix, std::uint64_t since, Seconds block,
-                        std::function<void(WatchReply)> done, Use use) {
+void KeyValueClient::watch(const std::string& prefix, std::uint64_t since, Seconds block,
+                           std::function<void(WatchReply)> done, RequestPriority priority) {
   const std::string target = "/watch?starts=" + prefix + "&since=" + std::to_string(since) +
                              "&blockMs=" + std::to_string(static_cast<long>(block * 1000));
-  submit({"GET", target, ""}, block + timeout_, 0, use,
+  submit({"GET", target, ""}, block + timeout_, 0, priority,
          [done = std::move(done)](Status status, transport::Response response) {
            WatchReply reply;
            reply.status = status;
@@ -368,10 +374,10 @@
                reply.revision = protocol::integer(json, "ledger");
                for (const Json& item : protocol::array(json, "events")) {
                  Event event;
-                 event.mark = protocol::integer(item, "mark");
+                 event.revision = protocol::integer(item, "mark");
                  if (protocol::find(item, "drop") != nullptr) {
                    event.key = protocol::text(item, "drop");
-                   event.dropped = true;
+                   event.deleted = true;
                  } else {
                    event.key = protocol::text(item, "write");
                    event.data = protocol::need(item, "data");
--- a/src/storage/state_client.hpp
+++ b/src/storage/key_value_client.hpp
@@ -21,12 +21,12 @@
 using transport::Seconds;
 
 // Whose call goes first when the node's part of the limits does not serve all at once.
-enum class Use {
-  lease,  // renewals and watches: never wait
-  user,   // somebody is waiting for the answer
-  work,   // placements and completions
-  bulk,   // the same of work of low priority, of which there may be more than can be written
-  help,   // what only saves time later
+enum class RequestPriority {
+  lease,       // renewals and watches: never wait
+  user,        // somebody is waiting for the answer
+  scheduling,  // placements and completions
+  bulk,        // the same of work of low priority, of which there may be more than can be written
+  background,  // what only saves time later
 };
 
 enum class Status {
@@ -43,12 +43,12 @@
 struct Entry {
   std::string key;
   Json data;
-  std::uint64_t mark = 0;
+  std::uint64_t revision = 0;
 };
 
-struct Guard {
+struct Precondition {
   std::string key;
-  std::uint64_t mark = 0;  // 0: must not exist
+  std::uint64_t revision = 0;  // 0: must not exist
 };
 
 struct Write {
@@ -58,12 +58,13 @@
 };
 
 struct Transaction {
-  std::vector<Guard> guards;
+  std::vector<Precondition> preconditions;
   std::vector<Write> writes;
-  std::vector<std::string> drops;
-  size_t changes() const { return writes.size() + drops.size(); }
-  bool guarded(const std::string& key) const {
-    return std::any_of(guards.begin(), guards.end(), [&](const Guard& g) { return g.key == key; });
+  std::vector<std::string> deletes;
+  size_t changes() const { return writes.size() + deletes.size(); }
+  bool has_precondition_on(const std::string& key) const {
+    return std::any_of(preconditions.begin(), preconditions.end(),
+                       [&](const Precondition& g) { return g.key == key; });
   }
 };
 
@@ -71,7 +72,7 @@
   Status status = Status::unknown;
   std::uint64_t revision = 0;
   std::vector<std::string> failed;
-  bool failed_on(const std::string& key) const {
+  bool failed_machines(const std::string& key) const {
     return std::find(failed.begin(), failed.end(), key) != failed.end();
   }
 };
@@ -85,9 +86,9 @@
 
 struct Event {
   std::string key;
-  bool dropped = false;
+  bool deleted = false;
   Json data;
-  std::uint64_t mark = 0;
+  std::uint64_t revision = 0;
 };
 
 struct WatchReply {
@@ -96,27 +97,32 @@
   std::vector<Event> events;
 };
 
-class StateClient {
+class KeyValueClient {
  public:
-  StateClient(transport::Clock& clock, transport::Client& client, const Settings& settings);
+  KeyValueClient(transport::Clock& clock, transport::Client& client, const Settings& settings);
 
   // The parts of the service's limits this node may use, between 0 and 1.
   void set_share(double requests, double writes);
 
-  void get(const std::string& key, std::function<void(Status, Entry)> done, Use use = Use::work);
+  void get(const std::string& key, std::function<void(Status, Entry)> done,
+           RequestPriority priority = RequestPriority::scheduling);
   void list(const std::string& prefix, const std::string& after,
-            std::function<void(ListReply)> done, Use use = Use::work);
-  void commit(const Transaction& txn, std::function<void(CommitReply)> done, Use use = Use::work);
+            std::function<void(ListReply)> done,
+            RequestPriority priority = RequestPriority::scheduling);
+  void commit(const Transaction& txn, std::function<void(CommitReply)> done,
+              RequestPriority priority = RequestPriority::scheduling);
   // Commits until the outcome is certain: a transaction whose answer is lost is sent again as it
   // was, and a guard that then fails is told from the transaction's own effect by reading back its
   // first write. Gives up, with `unknown`, when `wanted` says no more.
-  void settle(Transaction txn, std::function<bool()> wanted, std::function<void(CommitReply)> done,
-              Use use = Use::work);
+  void commit_until_certain(Transaction txn, std::function<bool()> wanted,
+                            std::function<void(CommitReply)> done,
+                            RequestPriority priority = RequestPriority::scheduling);
   void grant(Seconds life, std::function<void(Status, std::uint64_t)> done);
   void extend(std::uint64_t lease, std::function<void(Status)> done);
   void release(std::uint64_t lease);
   void watch(const std::string& prefix, std::uint64_t since, Seconds block,
-             std::function<void(WatchReply)> done, Use use = Use::lease);
+             std::function<void(WatchReply)> done,
+             RequestPriority priority = RequestPriority::lease);
 
   // How long calls have failed without a break; 0 when the latest one was answered.
   Seconds failing_for() const;
@@ -134,31 +140,31 @@
     Seconds queued_at;
     std::function<void(Status, transport::Response)> done;
   };
-  void submit(transport::Request request, Seconds timeout, double changes, Use use,
+  void submit(transport::Request request, Seconds timeout, double changes, RequestPriority priority,
               std::function<void(Status, transport::Response)> done);
   void send(Call call);
   void pump();
   void refill();
   void lower_limits();
   void note(bool answered);
-  void try_settle(std::shared_ptr<struct Settlement> job);
+  void try_commit_until_certain(std::shared_ptr<struct CertainCommit> job);
 
   transport::Clock& clock_;
   transport::Client& client_;
   std::string endpoint_;
-  StateLimits present_limits_;
-  StateLimits lasting_limits_;  // the smaller of the present and the next
-  StateLimits limits_;          // that this client goes by
+  StoreLimits present_limits_;
+  StoreLimits lasting_limits_;  // the smaller of the present and the next
+  StoreLimits limits_;          // that this client goes by
   Seconds lowered_until_ = 0;   // until when it goes by the lasting ones
   Seconds lowered_for_;         // how long it will do so next time
   double share_ = 1;            // of requests
   double write_share_ = 1;      // of writes
   Seconds timeout_;
-  double tokens_ = 0;
-  double write_tokens_ = 0;
+  double request_budget_ = 0;
+  double write_budget_ = 0;
   Seconds refilled_at_;
   // The most pressing use first; writes apart, so that reads need not wait for the write limit.
-  std::map<std::pair<Use, bool>, std::deque<Call>> waiting_;
+  std::map<std::pair<RequestPriority, bool>, std::deque<Call>> waiting_;
   bool pump_armed_ = false;
   Seconds failing_since_ = -1;
   bool answered_ever_ = false;
--- a/src/storage/records.cpp
+++ b/src/storage/records.cpp
@@ -19,11 +19,11 @@
   return "a/" + member + "/" + slot;
 }
 std::string version_key(const std::string& member) { return kVersionPrefix + member; }
-std::string placement_key(const std::string& id, std::uint32_t chunk) {
-  return kPlacementPrefix + id + "/" + std::to_string(chunk);
+std::string placement_key(const std::string& id, std::uint32_t shard) {
+  return kPlacementPrefix + id + "/" + std::to_string(shard);
 }
 
-bool parse_placement_key(const std::string& key, std::string& id, std::uint32_t& chunk) {
+bool parse_placement_key(const std::string& key, std::string& id, std::uint32_t& shard) {
   const std::string prefix = kPlacementPrefix;
   const auto slash = key.rfind('/');
   if (!key.starts_with(prefix) || slash < prefix.size() || slash + 1 == key.size() ||
@@ -31,10 +31,10 @@
     return false;
   }
   id = key.substr(prefix.size(), slash - prefix.size());
-  chunk = 0;
+  shard = 0;
   for (size_t i = slash + 1; i < key.size(); ++i) {
     if (key[i] < '0' || key[i] > '9') return false;
-    chunk = chunk * 10 + static_cast<std::uint32_t>(key[i] - '0');
+    shard = shard * 10 + static_cast<std::uint32_t>(key[i] - '0');
   }
   return true;
 }
@@ -42,7 +42,7 @@
 Json encode(const JobRecord& record) {
   Json out = protocol::encode_spec(record.spec);
   out["at"] = record.submitted_at;
-  out["chunk"] = record.chunk_tasks;
+  out["chunk"] = record.tasks_per_shard;
   if (record.cancelled) out["cancelled"] = true;
   return out;
 }
@@ -51,28 +51,28 @@
   JobRecord record;
   record.spec = protocol::decode_spec(id, data);
   record.submitted_at = protocol::amount(data, "at");
-  record.chunk_tasks =
+  record.tasks_per_shard =
       static_cast<std::uint32_t>(std::max<std::uint64_t>(1, protocol::integer(data, "chunk")));
   record.cancelled =
       protocol::find(data, "cancelled") != nullptr && protocol::boolean(data, "cancelled");
   return record;
 }
 
-Json encode(const ChunkRecord& record) {
+Json encode(const PlacementRecord& record) {
   Json out{{"attempt", record.attempt}};
   Json done = Json::array();
   for (const auto& [first, last] : record.done) done.push_back({first, last});
   if (!done.empty()) out["done"] = std::move(done);
   Json placed = Json::array();
   for (const auto& p : record.placed) {
-    placed.push_back(Json::array({p.task, p.attempt, p.machine, p.session}));
+    placed.push_back(Json::array({p.task, p.attempt, p.machine, p.incarnation}));
   }
   if (!placed.empty()) out["placed"] = std::move(placed);
   return out;
 }
 
-ChunkRecord decode_chunk(const Json& data) {
-  ChunkRecord record;
+PlacementRecord decode_placement_record(const Json& data) {
+  PlacementRecord record;
   record.attempt = protocol::integer(data, "attempt");
   if (const Json* done = protocol::find(data, "done")) {
     for (const Json& range : *done) {
@@ -134,7 +134,7 @@
 
 std::uint64_t decode_version(const Json& data) { return protocol::integer(data, "version"); }
 
-std::uint32_t tasks_per_chunk(double value_kb) {
+std::uint32_t max_tasks_per_shard(double value_kb) {
   return static_cast<std::uint32_t>(std::clamp(value_kb * 1024 / kBytesPerTask, 1.0, 1024.0));
 }
 
--- a/src/storage/records.hpp
+++ b/src/storage/records.hpp
@@ -15,8 +15,8 @@
 #include <string>
 #include <vector>
 
-#include "protocol/jobs.hpp"
-#include "protocol/relay.hpp"
+#include "protocol/job_messages.hpp"
+#include "protocol/relay_messages.hpp"
 
 namespace larkroad::storage {
 
@@ -35,14 +35,14 @@
 std::string relay_request_key(const std::string& member, const std::string& slot);
 std::string relay_answer_key(const std::string& member, const std::string& slot);
 std::string version_key(const std::string& member);
-std::string placement_key(const std::string& id, std::uint32_t chunk);
-// The job id and chunk that a placement key names; false when it is not one.
-bool parse_placement_key(const std::string& key, std::string& id, std::uint32_t& chunk);
+std::string placement_key(const std::string& id, std::uint32_t shard);
+// The job id and shard that a placement key names; false when it is not one.
+bool parse_placement_key(const std::string& key, std::string& id, std::uint32_t& shard);
 
 struct JobRecord {
   protocol::JobSpec spec;
   double submitted_at = 0;  // time of day
-  std::uint32_t chunk_tasks = 1;
+  std::uint32_t tasks_per_shard = 1;
   bool cancelled = false;
 };
 Json encode(const JobRecord& record);
@@ -52,15 +52,15 @@
   std::uint32_t task = 0;
   std::uint64_t attempt = 0;
   std::string machine;
-  std::uint64_t session = 0;
+  std::uint64_t incarnation = 0;
 };
-struct ChunkRecord {
-  std::uint64_t attempt = 0;                                  // the highest ever used in this chunk
+struct PlacementRecord {
+  std::uint64_t attempt = 0;                                  // the highest ever used in this shard
   std::vector<std::pair<std::uint32_t, std::uint32_t>> done;  // ranges, both ends included
   std::vector<PlacedTask> placed;
 };
-Json encode(const ChunkRecord& record);
-ChunkRecord decode_chunk(const Json& data);
+Json encode(const PlacementRecord& record);
+PlacementRecord decode_placement_record(const Json& data);
 
 struct FinishedRecord {
   bool cancelled = false;
@@ -93,7 +93,7 @@
 RelayAnswerRecord decode_relay_answer(const Json& data);
 
 // How many tasks share a placement record, so that its worst case fits the service's value limit.
-std::uint32_t tasks_per_chunk(double value_kb);
+std::uint32_t max_tasks_per_shard(double value_kb);
 
 // The size of a record as the state service counts it.
 size_t encoded_size(const Json& record);
--- a/tests/fleet_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -1,4 +1,4 @@
-#include "coordination/fleet.hpp"
+#include "coordination/scaling/autoscaler.hpp"
 
 #include <gtest/gtest.h>
 
@@ -12,34 +12,34 @@
   Fleet() : settings(testing::settings()), cluster(settings) {
     cluster.set_types(testing::types());
   }
-  FleetPlan round(Seconds now = 100) { return plan_fleet(cluster, refusals, pending, now, 0); }
-  static int rented(const FleetPlan& plan) {
+  ScalingPlan round(Seconds now = 100) { return plan_scaling(cluster, refusals, pending, now, 0); }
+  static int rented(const ScalingPlan& plan) {
     int count = 0;
-    for (const auto& rent : plan.rent) count += rent.count;
+    for (const auto& rent : plan.scale_out) count += rent.count;
     return count;
   }
 
   Settings settings;
   ClusterState cluster;
-  Refusals refusals;
+  CapacityBackoff refusals;
   std::map<Market, int> pending;
 };
 
 TEST_F(Fleet, RentsTheCheapestThatFits) {
   testing::add(cluster, testing::spec("job-1", 2));
-  const FleetPlan out = round();
-  ASSERT_EQ(out.rent.size(), 1u);
-  EXPECT_EQ(out.rent[0].market.type, "small");
-  EXPECT_FALSE(out.rent[0].market.spot);
-  EXPECT_EQ(out.rent[0].count, 1);
+  const ScalingPlan out = round();
+  ASSERT_EQ(out.scale_out.size(), 1u);
+  EXPECT_EQ(out.scale_out[0].market.type, "small");
+  EXPECT_FALSE(out.scale_out[0].market.spot);
+  EXPECT_EQ(out.scale_out[0].count, 1);
 }
 
 TEST_F(Fleet, RentsSpotWhereTheJobAllows) {
   auto spec = testing::spec("job-1");
   spec.spot = true;
   testing::add(cluster, spec);
-  ASSERT_EQ(round().rent.size(), 1u);
-  EXPECT_TRUE(round().rent[0].market.spot);
+  ASSERT_EQ(round().scale_out.size(), 1u);
+  EXPECT_TRUE(round().scale_out[0].market.spot);
 }
 
 TEST_F(Fleet, CountsWhatIsUpOnItsWayOrAskedFor) {
@@ -62,10 +62,10 @@
   spread.shape = protocol::Shape::gang;
   spread.spread = true;
   testing::add(cluster, spread);
-  const FleetPlan out = round();
-  ASSERT_EQ(out.rent.size(), 1u);
-  EXPECT_EQ(out.rent[0].market.zone, "west");
-  EXPECT_EQ(out.rent[0].count, 1);
+  const ScalingPlan out = round();
+  ASSERT_EQ(out.scale_out.size(), 1u);
+  EXPECT_EQ(out.scale_out[0].market.zone, "west");
+  EXPECT_EQ(out.scale_out[0].count, 1);
 
   cluster.clear();
   testing::up(cluster, "i-1", "small", "east");
@@ -74,7 +74,7 @@
   together.shape = protocol::Shape::gang;
   together.one_zone = true;
   testing::add(cluster, together);
-  for (const auto& rent : round().rent) EXPECT_EQ(rent.market.zone, "west");
+  for (const auto& rent : round().scale_out) EXPECT_EQ(rent.market.zone, "west");
   EXPECT_EQ(rented(round()), 1);
 }
 
@@ -88,17 +88,17 @@
     testing::add(cluster, together);
   }
   std::map<std::string, int> by_zone;
-  for (const auto& rent : round().rent) by_zone[rent.market.zone] += rent.count;
+  for (const auto& rent : round().scale_out) by_zone[rent.market.zone] += rent.count;
   EXPECT_EQ(by_zone["east"], by_zone["west"]);
   // What is refused in the one is looked for in the other.
   for (const auto& type : testing::types()) refusals.refused({type.name, "east", false}, 100, 5, 9);
-  for (const auto& rent : round().rent) EXPECT_EQ(rent.market.zone, "west");
+  for (const auto& rent : round().scale_out) EXPECT_EQ(rent.market.zone, "west");
 }
 
 TEST_F(Fleet, NeverRentsBeyondATeamsLimit) {
   testing::add(cluster, testing::spec("job-1", 1000));
   int cpus = 0;
-  for (const auto& rent : round().rent) {
+  for (const auto& rent : round().scale_out) {
     cpus += rent.count * static_cast<int>(cluster.type(rent.market.type)->cpus);
   }
   EXPECT_LE(cpus, 32);
@@ -106,10 +106,10 @@
 
 TEST_F(Fleet, TurnsToAnotherMarketWhenRefused) {
   testing::add(cluster, testing::spec("job-1"));
-  const Market first = round().rent.at(0).market;
+  const Market first = round().scale_out.at(0).market;
   refusals.refused(first, 100, 5, 40);
-  EXPECT_NE(round().rent.at(0).market, first);
-  EXPECT_EQ(round(106).rent.at(0).market, first);
+  EXPECT_NE(round().scale_out.at(0).market, first);
+  EXPECT_EQ(round(106).scale_out.at(0).market, first);
 }
 
 TEST_F(Fleet, RefusalsBackOffUpToALimit) {
@@ -129,8 +129,8 @@
 TEST_F(Fleet, ReturnsWhatIsOfNoUse) {
   Machine& idle = testing::up(cluster, "i-1", "small");
   idle.idle_since = 10;
-  EXPECT_TRUE(round(60).give_back.empty());  // a minute is charged anyhow
-  EXPECT_EQ(round(200).give_back, std::vector<std::string>{"i-1"});
+  EXPECT_TRUE(round(60).scale_in.empty());  // a minute is charged anyhow
+  EXPECT_EQ(round(200).scale_in, std::vector<std::string>{"i-1"});
 
   Machine& busy = testing::up(cluster, "i-2", "small");
   auto& job = testing::add(cluster, testing::spec("job-1"));
@@ -138,20 +138,20 @@
   Machine& never = cluster.machine("i-3");
   never.rented_at = 100;
   cluster.set_type(never, "small");
-  testing::up(cluster, "i-4", "small").silent = true;
-  EXPECT_EQ(round(1000).give_back, (std::vector<std::string>{"i-1", "i-3", "i-4"}));
+  testing::up(cluster, "i-4", "small").lease_expired = true;
+  EXPECT_EQ(round(1000).scale_in, (std::vector<std::string>{"i-1", "i-3", "i-4"}));
 }
 
 // Many machines that hung for a little longer than their lease all went back, to be rented anew.
 TEST_F(Fleet, WaitsForASilentMachineAsLongAsAnotherWouldBoot) {
   Machine& silent = testing::up(cluster, "i-1", "small");
-  silent.silent = true;
-  silent.silent_since = 100;
+  silent.lease_expired = true;
+  silent.lease_expired_at = 100;
   testing::add(cluster, testing::spec("job-1"));
-  EXPECT_TRUE(round(110).give_back.empty());
+  EXPECT_TRUE(round(110).scale_in.empty());
   EXPECT_EQ(rented(round(110)), 0);  // it counts as room that is on its way
   const Seconds later = 101 + cluster.type("small")->boot_s;
-  EXPECT_EQ(round(later).give_back, std::vector<std::string>{"i-1"});
+  EXPECT_EQ(round(later).scale_in, std::vector<std::string>{"i-1"});
   EXPECT_EQ(rented(round(later)), 1);
 }
 
--- a/tests/meetings_test.cpp
+++ b/tests/combined_failures_test.cpp
@@ -46,7 +46,7 @@
 std::ostream& operator<<(std::ostream& out, const Gap& gap) { return out << gap.name; }
 
 const Gap kGaps[] = {
-    // The users' day: refused alone, then an outage for all beyond `cancel_s`.
+    // The users' day: refused alone, then an outage for all beyond `cancellation_limit_s`.
     {"refused_alone",
      [](World& w, size_t i) {
        w.refused_by_state.insert(node(i));
@@ -151,7 +151,7 @@
 
 // Where the peers reach it, a leader that the state service refuses hears of a cancellation at
 // once, and stops the tasks although it may start nothing.
-TEST(Cancellations, ReachALeaderThatTheStateServiceRefuses) {
+TEST(CancellationNotifier, ReachALeaderThatTheStateServiceRefuses) {
   World world(1, {});
   submit_long(world);
   to_leader(world, 40, [&world](size_t i) { world.refused_by_state.insert(node(i)); });
@@ -166,7 +166,7 @@
 
 // What a peer says of a cancellation changes nothing unless it is for a job of this leadership, and
 // it is the record that counts in the end.
-TEST(Cancellations, AreTakenFromPeersOnly) {
+TEST(CancellationNotifier, AreTakenFromPeersOnly) {
   World world(1, {});
   submit_long(world);
   world.run(30);
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -9,8 +9,8 @@
 #include <fstream>
 #include <set>
 
-#include "protocol/cloud.hpp"
-#include "protocol/relay.hpp"
+#include "protocol/cloud_messages.hpp"
+#include "protocol/relay_messages.hpp"
 #include "sim/world.hpp"
 #include "storage/records.hpp"
 #include "support.hpp"
@@ -68,7 +68,7 @@
       EXPECT_EQ(storage::encode(job), record.data);
       EXPECT_FALSE(job.spec.is_service());
     } else if (kind == "p") {
-      EXPECT_EQ(storage::encode(storage::decode_chunk(record.data)), record.data);
+      EXPECT_EQ(storage::encode(storage::decode_placement_record(record.data)), record.data);
     } else if (kind == "d") {
       EXPECT_EQ(storage::encode(storage::decode_finished(record.data)), record.data);
     } else if (kind == "m") {
@@ -120,7 +120,7 @@
   const auto back = storage::decode_job("job-1", rewritten);
   EXPECT_TRUE(back.cancelled);
   EXPECT_EQ(back.spec.tasks, 3u);
-  EXPECT_EQ(back.chunk_tasks, 32u);
+  EXPECT_EQ(back.tasks_per_shard, 32u);
   EXPECT_TRUE(storage::decode_job("job-1", written).spec.is_service());
 }
 
@@ -158,11 +158,11 @@
   auto spec = testing::spec("job-1", 3);
   spec.shape = protocol::Shape::service;
   auto& job = testing::add(cluster, spec);
-  cluster.load_chunk(job, 0, {4, {{0, 1}}, {{2, 4, "i-1", 1}}}, 7, 5, 0);
+  cluster.restore_placements(job, 0, {4, {{0, 1}}, {{2, 4, "i-1", 1}}}, 7, 5, 0);
   EXPECT_EQ(job.done_count, 0u);
   EXPECT_EQ(job.waiting(), 2u);
-  EXPECT_EQ(job.live.size(), 1u);
-  EXPECT_FALSE(job.over());
+  EXPECT_EQ(job.placements.size(), 1u);
+  EXPECT_FALSE(job.is_finished());
 }
 
 }  // namespace
--- a/tests/state_client_test.cpp
+++ b/tests/key_value_client_test.cpp
@@ -1,5 +1,5 @@
 // The state client against a scripted service.
-#include "storage/state_client.hpp"
+#include "storage/key_value_client.hpp"
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 #include <deque>
 #include <map>
 
-#include "storage/job_view.hpp"
+#include "storage/job_cache.hpp"
 #include "support.hpp"
 
 namespace larkroad::storage {
@@ -61,12 +61,12 @@
  protected:
   State() : settings(testing::settings()), client(clock, net, settings) {}
 
-  CommitReply settle() {
+  CommitReply commit_until_certain() {
     Transaction txn;
-    txn.guards.push_back({"a", 0});
+    txn.preconditions.push_back({"a", 0});
     txn.writes.push_back({"a", {{"x", 1}}, std::nullopt});
     std::optional<CommitReply> got;
-    client.settle(
+    client.commit_until_certain(
         txn, [this, until = clock.now() + 20] { return clock.now() < until; },
         [&](CommitReply reply) { got = reply; });
     clock.run(clock.now() + 30);
@@ -76,7 +76,7 @@
   Settings settings;
   ManualClock clock;
   ScriptedClient net;
-  StateClient client;
+  KeyValueClient client;
 };
 
 const std::pair<Outcome, Response> kLost{Outcome::unknown, {}};
@@ -109,7 +109,7 @@
   };
   for (const auto& c : cases) {
     net.script = c.script;
-    const CommitReply reply = settle();
+    const CommitReply reply = commit_until_certain();
     EXPECT_EQ(reply.status, c.status) << c.what;
     if (c.status == Status::ok) {
       EXPECT_EQ(reply.revision, c.revision) << c.what;
@@ -120,15 +120,15 @@
 
 TEST_F(State, SettleGivesUpWhenNoLongerWanted) {
   for (int i = 0; i < 1000; ++i) net.script.push_back(kLost);
-  EXPECT_EQ(settle().status, Status::unknown);
+  EXPECT_EQ(commit_until_certain().status, Status::unknown);
 }
 
 // The moment at which the limits fall is not told; a refusal tells it. As other things bring
 // refusals too, the present limits are tried again, after longer each time.
 TEST_F(State, GoesByTheNextLimitsOnceItIsRefused) {
-  settings.next_state_limits.write_rps = settings.state_limits.write_rps / 5;
+  settings.next_store_limits.write_rps = settings.store_limits.write_rps / 5;
   ScriptedClient own_net;
-  StateClient own(clock, own_net, settings);
+  KeyValueClient own(clock, own_net, settings);
   own.set_share(1, 1);
   const auto writes_in = [&](Seconds length) {
     const size_t before = own_net.sent.size();
@@ -137,13 +137,13 @@
       Transaction txn;
       txn.writes.push_back({"a", {{"x", 1}}, std::nullopt});
       own.commit(
-          txn, [](const CommitReply&) {}, Use::user);
+          txn, [](const CommitReply&) {}, RequestPriority::user);
       clock.run(clock.now() + 0.01);
     }
     return own_net.sent.size() - before;
   };
-  const double present = settings.state_limits.write_rps;
-  const double next = settings.next_state_limits.write_rps;
+  const double present = settings.store_limits.write_rps;
+  const double next = settings.next_store_limits.write_rps;
   writes_in(5);  // past the burst
   EXPECT_GT(static_cast<double>(writes_in(5)), 5 * present * 0.8);
   own_net.script.push_back({Outcome::answered, {429, "{}", 0}});
@@ -190,7 +190,7 @@
   Transaction large;
   for (int i = 0; i < 4; ++i) large.writes.push_back({"large", {{"x", i}}, std::nullopt});
   std::optional<Seconds> done;
-  client.settle(
+  client.commit_until_certain(
       large, [] { return true; },
       [&](const CommitReply& reply) {
         EXPECT_EQ(reply.status, Status::ok);
@@ -205,18 +205,18 @@
 TEST_F(State, OtherRecordsGoBeforeThoseOfLowWork) {
   client.set_share(0.5, 0.1);
   std::vector<std::string> order;
-  const auto commit = [&](const std::string& what, Use use) {
+  const auto commit = [&](const std::string& what, RequestPriority priority) {
     Transaction txn;
     txn.writes.push_back({what, {{"x", 1}}, std::nullopt});
     client.commit(
-        txn, [&order, what](const CommitReply&) { order.push_back(what); }, use);
+        txn, [&order, what](const CommitReply&) { order.push_back(what); }, priority);
   };
   clock.run(10);
-  for (int i = 0; i < 20; ++i) commit("low", Use::bulk);
+  for (int i = 0; i < 20; ++i) commit("low", RequestPriority::bulk);
   const size_t before = order.size();
   ASSERT_LT(before, 20u);
-  commit("work", Use::work);
-  commit("user", Use::user);
+  commit("work", RequestPriority::scheduling);
+  commit("user", RequestPriority::user);
   clock.run(30);
   ASSERT_EQ(order.size(), 22u);
   EXPECT_EQ(order[before], "user");
@@ -262,7 +262,7 @@
     net.script = {kLost,
                   {Outcome::answered, {409, c.failed, 0}},
                   {Outcome::answered, {200, R"({"k":"a","data":{"x":1},"mark":7})", 0}}};
-    EXPECT_EQ(settle().status, c.status) << c.what;
+    EXPECT_EQ(commit_until_certain().status, c.status) << c.what;
     net.script.clear();
   }
 }
@@ -283,7 +283,7 @@
     clock.run(clock.now() + 5);
     return told;
   }
-  JobView view;
+  JobCache view;
 };
 
 TEST_F(View, FollowsTheRecordsWithOneCallForManyQuestions) {
--- a/tests/lag_meter_test.cpp
+++ b/tests/lag_meter_test.cpp
@@ -1,4 +1,4 @@
-#include "coordination/lag_meter.hpp"
+#include "coordination/leader/lag_meter.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -14,10 +14,10 @@
     SCOPED_TRACE("seed " + std::to_string(seed));
     World world(seed, {});
     size_t first = 3;
-    std::uint64_t token = 0;
+    std::uint64_t fencing_token = 0;
     to_leader(world, 30, [&](size_t i) {
       first = i;
-      token = world.node(i).election().token();
+      fencing_token = world.node(i).election().fencing_token();
       world.state.hold_watches(node(i), 130);
     });
     for (int k = 0; k < 5; ++k) world.submit(testing::spec("job-" + std::to_string(100 + k)), 32);
@@ -28,8 +28,8 @@
     EXPECT_LT(world.leader(), 3u);
     EXPECT_NE(world.leader(), first);
     const size_t second = world.leader();
-    const std::uint64_t second_token = world.node(second).election().token();
-    EXPECT_GT(second_token, token);
+    const std::uint64_t second_token = world.node(second).election().fencing_token();
+    EXPECT_GT(second_token, fencing_token);
     world.run(120);
     EXPECT_EQ(world.leader(), second) << "the lead is not passed to and fro";
     world.run(200);
--- a/tests/codec_test.cpp
+++ b/tests/protocol_test.cpp
@@ -1,10 +1,10 @@
 #include <gtest/gtest.h>
 
-#include "coordination/user_api.hpp"
-#include "protocol/cloud.hpp"
-#include "protocol/jobs.hpp"
-#include "protocol/relay.hpp"
-#include "protocol/workers.hpp"
+#include "coordination/api/user_api.hpp"
+#include "protocol/cloud_messages.hpp"
+#include "protocol/job_messages.hpp"
+#include "protocol/relay_messages.hpp"
+#include "protocol/worker_messages.hpp"
 #include "support.hpp"
 
 namespace larkroad::protocol {
@@ -215,22 +215,22 @@
 }
 
 TEST(RelayedReports, InShortSayTheSame) {
-  const Report report = parse_report(R"({"perch":"i-000231","address":"10.1.0.232:9000",
+  const Heartbeat heartbeat = parse_heartbeat(R"({"perch":"i-000231","address":"10.1.0.232:9000",
     "breed":"g8","yard":"a","loaners":true,"flight":3,"tick":88,"baton":41,"recallS":7.5,"legs":[
     {"leg":"job-000412/3","try":2,"stage":"running"},
     {"leg":"job-000412/4","try":2,"stage":"gathering"},
     {"leg":"job-000398/0","try":1,"stage":"exited","cause":"unknown"},
     {"leg":"job-000398/1","try":1,"stage":"exited","cause":"stopped","saved":true}]})");
-  RelayedReport item;
-  item.report = report;
+  RelayedHeartbeat item;
+  item.heartbeat = heartbeat;
   const RelayBatch batch{"node-1", 41, {item}};
   const std::string body = encode_batch(batch);
   const RelayBatch back = parse_batch(body);
-  ASSERT_EQ(back.reports.size(), 1u);
-  ASSERT_TRUE(back.reports[0].report);
-  EXPECT_TRUE(unchanged(*back.reports[0].report, report));
-  EXPECT_EQ(back.reports[0].report->tick, 88u);
-  EXPECT_EQ(back.reports[0].report->notice_s, 7.5);
+  ASSERT_EQ(back.heartbeats.size(), 1u);
+  ASSERT_TRUE(back.heartbeats[0].heartbeat);
+  EXPECT_TRUE(unchanged(*back.heartbeats[0].heartbeat, heartbeat));
+  EXPECT_EQ(back.heartbeats[0].heartbeat->sequence, 88u);
+  EXPECT_EQ(back.heartbeats[0].heartbeat->reclaim_notice_s, 7.5);
   // A state or a cause that does not exist, and a field of another kind.
   for (const auto& [from, to] : std::vector<std::pair<std::string, std::string>>{
            {"\"job-000412\",3,2,2,0", "\"job-000412\",3,2,5,0"},
@@ -245,18 +245,18 @@
 }
 
 TEST(Reports, ReadsTasks) {
-  const Report report = parse_report(R"({"perch":"i-000231","address":"10.1.0.232:9000",
+  const Heartbeat heartbeat = parse_heartbeat(R"({"perch":"i-000231","address":"10.1.0.232:9000",
     "breed":"g8","yard":"a","loaners":true,"flight":1,"tick":88,"baton":41,"recallS":7.5,
     "legs":[{"leg":"job-000412/3","try":2,"stage":"gathering"},
             {"leg":"job-000398/0","try":1,"stage":"exited","cause":"stopped","saved":true}]})");
-  EXPECT_EQ(report.machine, "i-000231");
-  EXPECT_EQ(report.token, 41u);
-  EXPECT_DOUBLE_EQ(*report.notice_s, 7.5);
-  ASSERT_EQ(report.tasks.size(), 2u);
-  EXPECT_EQ(report.tasks[0].id, (TaskId{"job-000412", 3}));
-  EXPECT_EQ(report.tasks[0].state, TaskState::waiting);
-  EXPECT_EQ(report.tasks[1].cause, ExitCause::stopped);
-  EXPECT_TRUE(report.tasks[1].saved);
+  EXPECT_EQ(heartbeat.machine, "i-000231");
+  EXPECT_EQ(heartbeat.fencing_token, 41u);
+  EXPECT_DOUBLE_EQ(*heartbeat.reclaim_notice_s, 7.5);
+  ASSERT_EQ(heartbeat.tasks.size(), 2u);
+  EXPECT_EQ(heartbeat.tasks[0].id, (TaskId{"job-000412", 3}));
+  EXPECT_EQ(heartbeat.tasks[0].state, TaskState::waiting);
+  EXPECT_EQ(heartbeat.tasks[1].cause, ExitCause::stopped);
+  EXPECT_TRUE(heartbeat.tasks[1].saved);
 }
 
 TEST(Reports, RefusesWhatIsMalformed) {
@@ -271,20 +271,21 @@
            R"("baton":1,"legs":[{"leg":"job-1/1","try":1,"stage":"dancing"}]})",
            R"("baton":1,"legs":[{"leg":"job-1/1","try":1,"stage":"exited"}]})",
        }) {
-    EXPECT_THROW(parse_report(head + rest), Malformed) << rest;
+    EXPECT_THROW(parse_heartbeat(head + rest), Malformed) << rest;
   }
 }
 
 TEST(Commands, AreWrittenAsTheProtocolSays) {
-  const std::vector<Command> commands{{Op::launch, {"job-1", 4}, 2, 0},
-                                      {Op::kill, {"job-2", 1}, 1, 10},
-                                      {Op::forget, {"job-3", 0}, 3, 0}};
+  const std::vector<Command> commands{{CommandType::launch, {"job-1", 4}, 2, 0},
+                                      {CommandType::kill, {"job-2", 1}, 1, 10},
+                                      {CommandType::forget, {"job-3", 0}, 3, 0}};
   EXPECT_EQ(Json::parse(encode_commands(41, 7, commands)),
             Json::parse(R"({"baton":41,"flight":7,"calls":[
               {"call":"launch","leg":"job-1/4","try":2},
               {"call":"kill","leg":"job-2/1","try":1,"slackS":10.0},
               {"call":"forget","leg":"job-3/0","try":3}]})"));
-  EXPECT_EQ(Json::parse(encode_report_answer(41, {})), Json::parse(R"({"baton":41,"calls":[]})"));
+  EXPECT_EQ(Json::parse(encode_heartbeat_response(41, {})),
+            Json::parse(R"({"baton":41,"calls":[]})"));
   EXPECT_EQ(encode_redirect(""), "{}");
   EXPECT_EQ(Json::parse(encode_redirect("perch-2")), Json::parse(R"({"home":"perch-2"})"));
 }
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -9,25 +9,25 @@
 
 TEST(Records, PlacementKeys) {
   std::string id;
-  std::uint32_t chunk = 0;
-  ASSERT_TRUE(parse_placement_key(placement_key("job-12", 340), id, chunk));
+  std::uint32_t shard = 0;
+  ASSERT_TRUE(parse_placement_key(placement_key("job-12", 340), id, shard));
   EXPECT_EQ(id, "job-12");
-  EXPECT_EQ(chunk, 340u);
+  EXPECT_EQ(shard, 340u);
   for (const char* key : {"j/job-1/2", "p/job-1", "p/job-1/", "p/job-1/x", "p//"}) {
-    EXPECT_FALSE(parse_placement_key(key, id, chunk)) << key;
+    EXPECT_FALSE(parse_placement_key(key, id, shard)) << key;
   }
 }
 
 TEST(Records, TheWorstChunkFitsTheValueLimit) {
   for (const double kb : {1.0, 4.0, 8.0}) {
-    ChunkRecord record;
+    PlacementRecord record;
     record.attempt = ~0ull;
-    for (std::uint32_t i = 0; i < tasks_per_chunk(kb); ++i) {
+    for (std::uint32_t i = 0; i < max_tasks_per_shard(kb); ++i) {
       record.placed.push_back({99'000 + i, ~0ull, "i-000000000000", 4'000'000'000ull});
     }
     EXPECT_LE(encode(record).dump().size(), kb * 1024) << kb;
-    ChunkRecord done;
-    for (std::uint32_t i = 0; i < tasks_per_chunk(kb); i += 2) done.done.emplace_back(i, i);
+    PlacementRecord done;
+    for (std::uint32_t i = 0; i < max_tasks_per_shard(kb); i += 2) done.done.emplace_back(i, i);
     EXPECT_LE(encode(done).dump().size(), kb * 1024) << kb;
   }
 }
@@ -51,11 +51,11 @@
 }
 
 TEST(Records, ChunkGivesTheSameBack) {
-  ChunkRecord record{7, {{0, 3}, {5, 5}}, {{4, 7, "i-1", 2}}};
-  const ChunkRecord back = decode_chunk(encode(record));
+  PlacementRecord record{7, {{0, 3}, {5, 5}}, {{4, 7, "i-1", 2}}};
+  const PlacementRecord back = decode_placement_record(encode(record));
   EXPECT_EQ(encode(back), encode(record));
   EXPECT_EQ(back.placed[0].machine, "i-1");
-  EXPECT_TRUE(decode_chunk(encode(ChunkRecord{})).placed.empty());
+  EXPECT_TRUE(decode_placement_record(encode(PlacementRecord{})).placed.empty());
 }
 
 TEST(Records, ImagesGiveTheSameBack) {
@@ -64,7 +64,7 @@
   EXPECT_TRUE(decode_images(encode(Images{})).empty());
 }
 
-// A new leader builds its statistics from chunks in whatever order the store lists their keys.
+// A new leader builds its statistics from shards in whatever order the store lists their keys.
 TEST(Records, ALedgerIsBuiltFromChunksInAnyOrder) {
   const Settings settings = testing::settings();
   for (const bool reversed : {false, true}) {
@@ -72,20 +72,20 @@
     cluster.set_types(testing::types());
     auto spec = testing::spec("job-1", 10);
     auto& job = cluster.add_job("job-1", {spec, 0, 4, false}, 1);
-    const ChunkRecord first{3, {{0, 1}}, {{2, 3, "i-1", 1}}};
-    const ChunkRecord second{2, {{5, 5}}, {}};
-    if (reversed) cluster.load_chunk(job, 1, second, 12, 8, 0);
-    cluster.load_chunk(job, 0, first, 11, 8, 0);
-    if (!reversed) cluster.load_chunk(job, 1, second, 12, 8, 0);
+    const PlacementRecord first{3, {{0, 1}}, {{2, 3, "i-1", 1}}};
+    const PlacementRecord second{2, {{5, 5}}, {}};
+    if (reversed) cluster.restore_placements(job, 1, second, 12, 8, 0);
+    cluster.restore_placements(job, 0, first, 11, 8, 0);
+    if (!reversed) cluster.restore_placements(job, 1, second, 12, 8, 0);
     EXPECT_EQ(job.done_count, 3u);
-    EXPECT_EQ(job.live.size(), 1u);
-    EXPECT_EQ(job.returned, (std::set<std::uint32_t>{3, 4, 6, 7})) << reversed;
-    EXPECT_EQ(job.next_fresh, 8u);
+    EXPECT_EQ(job.placements.size(), 1u);
+    EXPECT_EQ(job.requeued, (std::set<std::uint32_t>{3, 4, 6, 7})) << reversed;
+    EXPECT_EQ(job.next_never_placed, 8u);
     EXPECT_EQ(job.waiting(), 6u);
-    EXPECT_EQ(job.chunks[0].mark, 11u);
+    EXPECT_EQ(job.shards[0].revision, 11u);
     EXPECT_EQ(cluster.used_by("red").cpus, 2);
-    EXPECT_EQ(encode(cluster.chunk_record(job, 0)), encode(first));
-    EXPECT_EQ(encode(cluster.chunk_record(job, 1)), encode(second));
+    EXPECT_EQ(encode(cluster.placement_record(job, 0)), encode(first));
+    EXPECT_EQ(encode(cluster.placement_record(job, 1)), encode(second));
   }
 }
 
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -1,12 +1,12 @@
 // Reports on their way to the leader: the relay's side, the relay_assignment of workers, and the
 // batches.
-#include "coordination/relay.hpp"
+#include "coordination/relay/relay.hpp"
 
 #include <gtest/gtest.h>
 
 #include <deque>
 
-#include "coordination/relay_assignment.hpp"
+#include "coordination/relay/relay_assignment.hpp"
 #include "support.hpp"
 
 namespace larkroad::coordination {
@@ -22,12 +22,12 @@
       "node-1", 7, {{R"({"perch":"i-1"})", "", 0, 0, 0}, {"", "i-2", 1, 9, 8}}};
   const auto back = protocol::parse_batch(protocol::encode_batch(batch));
   EXPECT_EQ(back.member, "node-1");
-  EXPECT_EQ(back.token, 7u);
-  ASSERT_EQ(back.reports.size(), 2u);
-  EXPECT_EQ(back.reports[0].words, R"({"perch":"i-1"})");
-  EXPECT_EQ(back.reports[1].machine, "i-2");
-  EXPECT_EQ(back.reports[1].tick, 9u);
-  EXPECT_EQ(back.reports[1].base, 8u);
+  EXPECT_EQ(back.fencing_token, 7u);
+  ASSERT_EQ(back.heartbeats.size(), 2u);
+  EXPECT_EQ(back.heartbeats[0].payload, R"({"perch":"i-1"})");
+  EXPECT_EQ(back.heartbeats[1].machine, "i-2");
+  EXPECT_EQ(back.heartbeats[1].sequence, 9u);
+  EXPECT_EQ(back.heartbeats[1].base_sequence, 8u);
 }
 
 TEST(Batches, MalformedOnesAreRefused) {
@@ -94,61 +94,61 @@
     relay.aim("node-1", 5);
     relay.reached("node-1", true);
   }
-  void report(std::uint64_t tick, const std::string& legs = "[]") {
-    const std::string words =
+  void heartbeat(std::uint64_t sequence, const std::string& legs = "[]") {
+    const std::string payload =
         R"({"perch":"i-1","address":"10.1.0.1:9000","breed":"small","yard":"east","loaners":false,)"
         R"("flight":1,"tick":)" +
-        std::to_string(tick) + R"(,"baton":5,"recallS":null,"legs":)" + legs + "}";
-    relay.take(words, protocol::parse_report(words),
+        std::to_string(sequence) + R"(,"baton":5,"recallS":null,"legs":)" + legs + "}";
+    relay.take(payload, protocol::parse_heartbeat(payload),
                [this](Response response) { heard.push_back(std::move(response)); });
-    clock.run(settings.report_s / 50);
+    clock.run(settings.heartbeat_interval_s / 50);
   }
   void answer(int status, const std::string& body = R"({"baton":5,"calls":[]})") {
     auto call = std::move(client.calls.front());
     client.calls.pop_front();
-    std::vector<protocol::RelayedAnswer> answers(call.batch.reports.size(), {status, body});
+    std::vector<protocol::RelayedAnswer> answers(call.batch.heartbeats.size(), {status, body});
     call.reply(Outcome::answered, {200, protocol::encode_batch_answers(answers), 0});
   }
   Settings settings;
   FakeClock clock;
   FakeClient client;
-  storage::StateClient state;
+  storage::KeyValueClient state;
   StoreRelayClient store;
   Relay relay;
   std::vector<Response> heard;
 };
 
 TEST_F(RelayTest, HandsOnTheLeadersAnswerAndSendsWhatIsUnchangedInShort) {
-  report(1);
+  heartbeat(1);
   ASSERT_EQ(client.calls.size(), 1u);
   EXPECT_EQ(client.calls[0].endpoint, "127.0.0.2:18081");
-  EXPECT_FALSE(client.calls[0].batch.reports[0].words.empty());
+  EXPECT_FALSE(client.calls[0].batch.heartbeats[0].payload.empty());
   EXPECT_TRUE(heard.empty());  // nothing by itself
   answer(200, "the leader's words");
   ASSERT_EQ(heard.size(), 1u);
   EXPECT_EQ(heard[0].status, 200);
   EXPECT_EQ(heard[0].body, "the leader's words");
 
-  report(2);
-  EXPECT_TRUE(client.calls[0].batch.reports[0].words.empty());
-  EXPECT_EQ(client.calls[0].batch.reports[0].tick, 2u);
-  EXPECT_EQ(client.calls[0].batch.reports[0].base, 1u);
+  heartbeat(2);
+  EXPECT_TRUE(client.calls[0].batch.heartbeats[0].payload.empty());
+  EXPECT_EQ(client.calls[0].batch.heartbeats[0].sequence, 2u);
+  EXPECT_EQ(client.calls[0].batch.heartbeats[0].base_sequence, 1u);
   answer(200);
   // Once something has changed it goes in its own words again.
-  report(3, R"([{"leg":"job-1/0","try":1,"stage":"running"}])");
-  EXPECT_FALSE(client.calls[0].batch.reports[0].words.empty());
+  heartbeat(3, R"([{"leg":"job-1/0","try":1,"stage":"running"}])");
+  EXPECT_FALSE(client.calls[0].batch.heartbeats[0].payload.empty());
 }
 
 TEST_F(RelayTest, SendsTheWordsToALeaderThatKnowsNoEarlierReport) {
-  report(1);
+  heartbeat(1);
   answer(200);
-  report(2);
-  ASSERT_TRUE(client.calls[0].batch.reports[0].words.empty());
-  answer(protocol::kNeedsWords, "");
+  heartbeat(2);
+  ASSERT_TRUE(client.calls[0].batch.heartbeats[0].payload.empty());
+  answer(protocol::kNeedsPayload, "");
   EXPECT_EQ(heard.size(), 1u);
-  clock.run(settings.report_s / 50);
+  clock.run(settings.heartbeat_interval_s / 50);
   ASSERT_EQ(client.calls.size(), 1u);
-  EXPECT_FALSE(client.calls[0].batch.reports[0].words.empty());
+  EXPECT_FALSE(client.calls[0].batch.heartbeats[0].payload.empty());
   answer(200);
   EXPECT_EQ(heard.back().status, 200);
 }
@@ -179,7 +179,7 @@
   };
   for (const auto& c : cases) {
     heard.clear();
-    report(1);
+    heartbeat(1);
     ASSERT_EQ(client.calls.size(), 1u) << c.what;
     EXPECT_LE(client.calls[0].timeout, 2) << c.what;  // workers wait for 4 s
     auto call = std::move(client.calls.front());
@@ -193,17 +193,17 @@
 }
 
 TEST_F(RelayTest, TakesUpTheTokenThatTheLeaderHasByNow) {
-  report(1);
-  EXPECT_EQ(client.calls[0].batch.token, 5u);
+  heartbeat(1);
+  EXPECT_EQ(client.calls[0].batch.fencing_token, 5u);
   auto call = std::move(client.calls.front());
   client.calls.pop_front();
-  call.reply(Outcome::answered, {409, protocol::encode_token(9), 0});
+  call.reply(Outcome::answered, {409, protocol::encode_fencing_token(9), 0});
   ASSERT_EQ(client.calls.size(), 1u);
-  EXPECT_EQ(client.calls[0].batch.token, 9u);
+  EXPECT_EQ(client.calls[0].batch.fencing_token, 9u);
   // But only once for one batch.
   call = std::move(client.calls.front());
   client.calls.pop_front();
-  call.reply(Outcome::answered, {409, protocol::encode_token(11), 0});
+  call.reply(Outcome::answered, {409, protocol::encode_fencing_token(11), 0});
   EXPECT_TRUE(client.calls.empty());
   ASSERT_EQ(heard.size(), 1u);
   EXPECT_EQ(heard[0].status, 503);
@@ -211,8 +211,8 @@
 
 TEST_F(RelayTest, HoldsNoMoreThanItsBoundAndNothingForLong) {
   // Two batches hang; what comes meanwhile waits, up to the bound, and is answered in time.
-  report(1);
-  report(2);
+  heartbeat(1);
+  heartbeat(2);
   ASSERT_EQ(client.calls.size(), 2u);
   for (int i = 0; i < settings.sockets + 10; ++i) {
     relay.take("{}", {}, [this](Response response) { heard.push_back(std::move(response)); });
@@ -224,7 +224,7 @@
     client.calls.pop_front();
     call.reply(Outcome::unknown, {});
   }
-  clock.run(settings.report_s / 50);
+  clock.run(settings.heartbeat_interval_s / 50);
   EXPECT_EQ(heard.size(), 12u + static_cast<size_t>(settings.sockets));
   for (const auto& response : heard) EXPECT_EQ(response.status, 503);
 }
@@ -275,7 +275,7 @@
 }
 
 TEST_F(HomesTest, WithoutARelayTheLeaderServesThemAll) {
-  const Seconds later = settings.report_s * 3;
+  const Seconds later = settings.heartbeat_interval_s * 3;
   EXPECT_EQ(come(0, 500, later), (std::map<std::string, int>{{"", 500}}));
 }
 
--- a/tests/planner_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -1,8 +1,8 @@
-#include "coordination/planner.hpp"
+#include "coordination/scheduling/scheduler.hpp"
 
 #include <gtest/gtest.h>
 
-#include "coordination/forecast.hpp"
+#include "coordination/scheduling/forecast.hpp"
 #include "support.hpp"
 
 namespace larkroad::coordination {
@@ -30,8 +30,8 @@
   }
   // The job's placed tasks are reported as running.
   static void runs(Job& job, Seconds (*since)(std::uint32_t task)) {
-    for (auto& [task, p] : job.live) {
-      p.stage = Placement::Stage::held;
+    for (auto& [task, p] : job.placements) {
+      p.stage = Placement::Stage::acknowledged;
       p.state = TaskState::running;
       p.running_since = since(task);
     }
@@ -45,8 +45,8 @@
 
   Settings settings;
   ClusterState cluster;
-  GangHolds holds;
-  PlanLimits limits;
+  GangReservations holds;
+  CycleLimits limits;
 };
 
 TEST_F(Planner, PlacesAnArrayAsFarAsThereIsRoom) {
@@ -127,7 +127,7 @@
     small.image_gb = 0.1;
     small.team = c.small_team;
     testing::add(cluster, small, 1);
-    const auto order = order_of_work(cluster, 5, 0);
+    const auto order = order_jobs(cluster, 5, 0);
     ASSERT_EQ(order.size(), 2u) << c.what;
     EXPECT_EQ(order[0]->id(), c.small_first ? "job-2" : "job-1") << c.what;
   }
@@ -145,7 +145,7 @@
   late.job_class = "aimed";
   testing::add(cluster, late, 10);
   std::vector<std::string> ids;
-  for (const Job* job : order_of_work(cluster, 130, 0)) ids.push_back(job->id());
+  for (const Job* job : order_jobs(cluster, 130, 0)) ids.push_back(job->id());
   EXPECT_EQ(ids, (std::vector<std::string>{"job-2", "job-1", "job-3"}));
 }
 
@@ -190,7 +190,7 @@
   testing::add(cluster, testing::spec("job-3"), 2);
   testing::add(cluster, testing::spec("job-4", 100), 0);  // beyond its team's guarantee
   std::vector<std::string> ids;
-  for (const Job* job : order_of_work(cluster, 10, 0)) ids.push_back(job->id());
+  for (const Job* job : order_jobs(cluster, 10, 0)) ids.push_back(job->id());
   // job-4 came first and exceeds the guarantee; so do all that come after it in its team.
   EXPECT_EQ(ids, (std::vector<std::string>{"job-2", "job-4", "job-1", "job-3"}));
 }
@@ -238,14 +238,14 @@
     const char* what;
     void (*change)(Machine&);
   } cases[] = {
-      {"not heard", [](Machine& m) { m.heard = false; }},
-      {"silent", [](Machine& m) { m.silent = true; }},
-      {"on its way back", [](Machine& m) { m.returning = true; }},
-      {"to be taken", [](Machine& m) { m.taken_at = 105; }},
+      {"not heard", [](Machine& m) { m.has_reported = false; }},
+      {"silent", [](Machine& m) { m.lease_expired = true; }},
+      {"on its way back", [](Machine& m) { m.being_released = true; }},
+      {"to be taken", [](Machine& m) { m.reclaimed_at = 105; }},
       {"fails every task", [](Machine& m) { m.quarantined = true; }},
       {"said it was full", [](Machine& m) { m.refused_until = 101; }},
       // It answers calls, but its own reports have stopped for more than half a lease of 12 s.
-      {"brings no reports", [](Machine& m) { m.reported_at = 93.9; }},
+      {"brings no reports", [](Machine& m) { m.last_worker_heartbeat_at = 93.9; }},
   };
   for (const auto& c : cases) {
     cluster.clear();
@@ -254,7 +254,7 @@
     EXPECT_TRUE(round().assignments.empty()) << c.what;
   }
   cluster.clear();
-  testing::up(cluster, "i-1", "small").reported_at = 94.1;
+  testing::up(cluster, "i-1", "small").last_worker_heartbeat_at = 94.1;
   testing::add(cluster, testing::spec("job-1"));
   EXPECT_EQ(placed(round(), "job-1"), 1u) << "a report that is late for a moment";
 }
@@ -272,7 +272,7 @@
   // Tasks of an old attempt keep the job in their zone until they are gone.
   for (std::uint32_t task = 1; task < 4; ++task) cluster.unplace(job, task, 101);
   auto* blocked = &testing::up(cluster, "i-2", "small", "west");
-  blocked->silent = true;
+  blocked->lease_expired = true;
   const Plan again = round();
   for (const auto& [task, machine] : again.assignments[0].tasks) EXPECT_EQ(machine, "i-3");
 
@@ -327,11 +327,11 @@
   auto& job = testing::add(cluster, gang);
   testing::add(cluster, testing::spec("job-2"), 5);
   round(100);
-  EXPECT_TRUE(round(100 + limits.hold_s - 1).assignments.empty());
-  const Plan out = round(100 + limits.hold_s);
+  EXPECT_TRUE(round(100 + limits.reservation_limit_s - 1).assignments.empty());
+  const Plan out = round(100 + limits.reservation_limit_s);
   EXPECT_EQ(placed(out, "job-2"), 1u);
   EXPECT_EQ(holds.find("job-1"), nullptr);
-  EXPECT_GT(job.retry_at, 100 + limits.hold_s);
+  EXPECT_GT(job.retry_at, 100 + limits.reservation_limit_s);
 }
 
 TEST_F(Planner, TwoGangsDoNotBlockEachOther) {
@@ -364,7 +364,7 @@
   EXPECT_EQ(out.preemptions[0].for_job, "job-3");
   EXPECT_EQ(out.preemptions[0].task, 0u);  // has the least to lose
   // Nothing more is stopped for it while that one is on its way out.
-  low.live.at(0).stopping = true;
+  low.placements.at(0).stopping = true;
   EXPECT_TRUE(round(111).preemptions.empty());
 }
 
@@ -380,7 +380,7 @@
   urgent.priority = protocol::Priority::high;
   testing::add(cluster, urgent, 6);
   ASSERT_EQ(round(110).preemptions.size(), 2u);
-  low.live.at(1).stopping = true;
+  low.placements.at(1).stopping = true;
   cluster.unplace(low, 0, 111);
   const Plan out = round(111);
   EXPECT_TRUE(out.assignments.empty());
@@ -434,7 +434,7 @@
     Job& job = testing::add(cluster, large, 1000 - c.waited);
     job.seen_running = c.begun;
     std::vector<std::string> ids;
-    for (const Job* j : order_of_work(cluster, 1000, 240)) ids.push_back(j->id());
+    for (const Job* j : order_jobs(cluster, 1000, 240)) ids.push_back(j->id());
     EXPECT_EQ(ids, c.order) << c.what;
   }
 }
@@ -467,7 +467,7 @@
     testing::add(cluster, urgent, 2);
     EXPECT_EQ(round().preemptions.size(), c.stopped) << c.what;
     for (const auto& victim : round().preemptions) {
-      running.live.at(victim.task).stopping = true;
+      running.placements.at(victim.task).stopping = true;
     }
     EXPECT_TRUE(round().preemptions.empty()) << c.what << ": nothing is stopped twice for a need";
   }
@@ -559,7 +559,7 @@
   const Plan out = round();
   ASSERT_EQ(out.preemptions.size(), 2u);
   for (const auto& victim : out.preemptions) {
-    EXPECT_EQ(cluster.find_machine(running.live.at(victim.task).machine)->zone, "west");
+    EXPECT_EQ(cluster.find_machine(running.placements.at(victim.task).machine)->zone, "west");
   }
 }
 
@@ -604,11 +604,11 @@
   testing::up(cluster, "i-1", "large");
   testing::up(cluster, "i-2", "large");
   Job& job = testing::add(cluster, testing::spec("job-1", 8, 1));
-  job.failed_on = {"i-1"};
+  job.failed_machines = {"i-1"};
   const Plan twice = round();
   ASSERT_EQ(placed(twice, "job-1"), 8u);
   for (const auto& [task, machine] : twice.assignments[0].tasks) EXPECT_EQ(machine, "i-2");
-  job.failed_on = {"i-1", "i-2", "i-3"};
+  job.failed_machines = {"i-1", "i-2", "i-3"};
   EXPECT_TRUE(job.fails_everywhere());
   EXPECT_EQ(placed(carried_out(), "job-1"), 1u);
   cluster.finish(job, 0, 101);  // one succeeds after all
@@ -659,9 +659,9 @@
   }
   job.gang_started = true;
   cluster.unplace(job, 0, 101);
-  job.gang_broken = true;
+  job.gang_aborting = true;
   cluster.finish(job, 1, 101);
-  EXPECT_FALSE(job.gang_broken);
+  EXPECT_FALSE(job.gang_aborting);
   EXPECT_EQ(job.waiting(), 1u);
 }
 
@@ -674,7 +674,7 @@
   auto& job = testing::add(cluster, service("job-1", 3));
   carried_out();
   std::set<std::string> machines;
-  for (const auto& [task, placement] : job.live) machines.insert(placement.machine);
+  for (const auto& [task, placement] : job.placements) machines.insert(placement.machine);
   EXPECT_EQ(machines.size(), 3u);
   // Where that would cost the way of a large image they share a machine.
   cluster.find_machine("i-2")->images.clear();
@@ -685,7 +685,7 @@
     return spec;
   }());
   carried_out();
-  for (const auto& [task, placement] : second.live) EXPECT_EQ(placement.machine, "i-1");
+  for (const auto& [task, placement] : second.placements) EXPECT_EQ(placement.machine, "i-1");
 }
 
 TEST_F(Planner, AReplicaThatWaitsAfterEndsTakesNoRoomFromOthers) {
@@ -703,7 +703,7 @@
   auto& lower = testing::add(cluster, testing::spec("job-2", 2, 2));
   job.restarts[1] = {3, 150};
   carried_out(100);
-  ASSERT_EQ(lower.live.size(), 2u);
+  ASSERT_EQ(lower.placements.size(), 2u);
   runs(lower, [](std::uint32_t) -> Seconds { return 50; });
   EXPECT_TRUE(round(110).preemptions.empty());
   EXPECT_FALSE(round(151).preemptions.empty());
@@ -726,7 +726,7 @@
   auto& job = testing::add(cluster, service("job-1", 2, 2));
   carried_out();
   runs(job, [](std::uint32_t) -> Seconds { return 50; });
-  leaving.taken_at = 110;
+  leaving.reclaimed_at = 110;
   EXPECT_TRUE(round().moves.empty()) << "nowhere to go";
   testing::up(cluster, "i-2", "small");
   const Plan plan = round();
@@ -734,7 +734,7 @@
   // Other work does not get the room meanwhile.
   auto& other = testing::add(cluster, testing::spec("job-2", 1, 2));
   other.spec.priority = protocol::Priority::high;
-  for (auto& [task, placement] : job.live) placement.stopping = true;
+  for (auto& [task, placement] : job.placements) placement.stopping = true;
   EXPECT_EQ(placed(round(), "job-2"), 0u);
   // The replica does once it has ended.
   cluster.unplace(job, 0, 101);
@@ -748,9 +748,9 @@
   spec.spread = true;
   auto& job = testing::add(cluster, spec);
   carried_out();
-  ASSERT_EQ(job.live.size(), 2u);
+  ASSERT_EQ(job.placements.size(), 2u);
   runs(job, [](std::uint32_t) -> Seconds { return 50; });
-  leaving.taken_at = 110;
+  leaving.reclaimed_at = 110;
   cluster.find_machine("i-2")->refused_until = 1000;  // no room in the other zone
   testing::up(cluster, "i-3", "small", "east");
   EXPECT_EQ(round().moves.size(), 1u);
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -69,7 +69,7 @@
     EXPECT_EQ(world.running_tasks("job-1"), 3u);
     EXPECT_FALSE(world.all_over());
     world.cancel("job-1");
-    world.run(120 + world.settings.cancel_s);
+    world.run(120 + world.settings.cancellation_limit_s);
     EXPECT_EQ(world.running_tasks("job-1"), 0u);
     EXPECT_TRUE(world.all_over()) << world.unfinished();
     expect_no_breach(world);
@@ -95,7 +95,7 @@
     EXPECT_EQ(starts_of(world, "job-1", 1).size(), 1u);
     EXPECT_EQ(starts_of(world, "job-1", 2).size(), 1u);
     // Once it ends no more it is back within the longest pause, of 16 reports.
-    world.run(160 + 16 * world.settings.report_s + 5);
+    world.run(160 + 16 * world.settings.heartbeat_interval_s + 5);
     EXPECT_EQ(world.running_tasks("job-1"), 3u);
     EXPECT_EQ(world.machines_gone(), 0u);
     expect_no_breach(world);
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -36,24 +36,24 @@
   ASSERT_EQ(s.objectives.size(), 1u);
   EXPECT_DOUBLE_EQ(s.objectives[0].within_s, 1);
   EXPECT_DOUBLE_EQ(s.clock_error_s, 0.1);
-  EXPECT_EQ(s.state_limits.txn_ops, 8);
+  EXPECT_EQ(s.store_limits.max_transaction_changes, 8);
   EXPECT_EQ(s.sockets, 200);
 }
 
 TEST(Settings, NextLimitsOfTheStateService) {
   const std::string text = testing::settings_text();
   const Settings none = parse_settings(text);
-  EXPECT_DOUBLE_EQ(none.next_state_limits.value_kb, 4);
-  EXPECT_EQ(none.lasting_state_limits().txn_ops, 8);
+  EXPECT_DOUBLE_EQ(none.next_store_limits.value_kb, 4);
+  EXPECT_EQ(none.lasting_store_limits().max_transaction_changes, 8);
   const std::string next = "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 16\nwrite_rps = 18.0\n";
   const Settings some = parse_settings(text + next);
-  EXPECT_DOUBLE_EQ(some.state_limits.value_kb, 4);
-  EXPECT_DOUBLE_EQ(some.next_state_limits.value_kb, 2);
-  EXPECT_DOUBLE_EQ(some.next_state_limits.rps, 100) << "not named: as at present";
+  EXPECT_DOUBLE_EQ(some.store_limits.value_kb, 4);
+  EXPECT_DOUBLE_EQ(some.next_store_limits.value_kb, 2);
+  EXPECT_DOUBLE_EQ(some.next_store_limits.rps, 100) << "not named: as at present";
   // The smaller one of each.
-  EXPECT_DOUBLE_EQ(some.lasting_state_limits().value_kb, 2);
-  EXPECT_DOUBLE_EQ(some.lasting_state_limits().write_rps, 18);
-  EXPECT_EQ(some.lasting_state_limits().txn_ops, 8);
+  EXPECT_DOUBLE_EQ(some.lasting_store_limits().value_kb, 2);
+  EXPECT_DOUBLE_EQ(some.lasting_store_limits().write_rps, 18);
+  EXPECT_EQ(some.lasting_store_limits().max_transaction_changes, 8);
   for (const char* wrong : {"value_kb = 0.0", "txn_ops = 2.5", "write_rps = -1.0", "rps = \"x\""}) {
     EXPECT_THROW(parse_settings(text + "[cluster.state.next]\n" + wrong), SettingsError) << wrong;
   }
@@ -117,10 +117,10 @@
 }
 
 TEST(OperatorSettings, DefaultsAndErrors) {
-  EXPECT_DOUBLE_EQ(parse_operators("").hold_s, 20);
+  EXPECT_DOUBLE_EQ(parse_operators("").reservation_limit_s, 20);
   EXPECT_DOUBLE_EQ(parse_operators("").start_bound_s, 240);
   const auto own = parse_operators("[gangs]\nhold_s = 5\n[starts]\nbound_s = 60.5\n");
-  EXPECT_DOUBLE_EQ(own.hold_s, 5);
+  EXPECT_DOUBLE_EQ(own.reservation_limit_s, 5);
   EXPECT_DOUBLE_EQ(own.start_bound_s, 60.5);
   const struct {
     const char* text;
--- a/tests/sim/checker.cpp
+++ b/tests/sim/checker.cpp
@@ -134,7 +134,7 @@
   if (!type_allowed || !zone_allowed || (place.spot && !job.spec.spot) || !together || !spread) {
     breach(now, "wrong_place", id.text() + " on " + place.machine);
   }
-  if (job.cancelled_at >= 0 && now > job.cancelled_at + settings_.cancel_s) {
+  if (job.cancelled_at >= 0 && now > job.cancelled_at + settings_.cancellation_limit_s) {
     breach(now, "ran_cancelled", id.text() + " starts");
   }
 }
@@ -192,7 +192,7 @@
   for (const auto& [id, places] : on_) {
     const auto it = jobs_.find(id.job);
     if (it == jobs_.end() || it->second.cancelled_at < 0) continue;
-    if (now <= it->second.cancelled_at + settings_.cancel_s) continue;
+    if (now <= it->second.cancelled_at + settings_.cancellation_limit_s) continue;
     if (std::any_of(places.begin(), places.end(),
                     [&](const auto& place) { return !hung_.contains(place.first); })) {
       breach(now, "ran_cancelled", id.text() + " is still there");
--- a/tests/sim/checker.hpp
+++ b/tests/sim/checker.hpp
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "coordination/cluster_state.hpp"
-#include "protocol/jobs.hpp"
+#include "coordination/cluster_state/cluster_state.hpp"
+#include "protocol/job_messages.hpp"
 
 namespace larkroad::sim {
 
--- a/tests/sim/digest.cpp
+++ b/tests/sim/digest.cpp
@@ -73,7 +73,7 @@
     {"watch_held_up_zones_apart_and_smaller_limits",
      {0.005, 0.005, 20, 0.2},
      [](World& w) {
-       w.events.at(20, [&w] { w.state_limits.txn_ops = 2; });
+       w.events.at(20, [&w] { w.store_limits.max_transaction_changes = 2; });
        JobSpec wide = testing::spec("job-5000", 100, 0.25);
        wide.memory_gb = 0.1;
        w.submit(wide, 25);
--- a/tests/sim/state_stand_in.cpp
+++ b/tests/sim/fake_key_value_store.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-void StateStandIn::handle(const Request& request, const std::string& from, Respond respond) {
+void FakeKeyValueStore::handle(const Request& request, const std::string& from, Respond respond) {
   expire();
   const auto question = request.target.find('?');
   const std::string path = request.target.substr(0, question);
@@ -42,9 +42,10 @@
     if (it == keys_.end()) {
       respond({404, Json{{"ledger", revision_}}.dump(), 0});
     } else {
-      respond({200,
-               Json{{"k", it->first}, {"data", it->second.data}, {"mark", it->second.mark}}.dump(),
-               0});
+      respond(
+          {200,
+           Json{{"k", it->first}, {"data", it->second.data}, {"mark", it->second.revision}}.dump(),
+           0});
     }
     return;
   }
@@ -73,7 +74,7 @@
   respond({400, "{}", 0});
 }
 
-void StateStandIn::set_outage(bool on) {
+void FakeKeyValueStore::set_outage(bool on) {
   if (on) expire();
   outage_ = on;
   if (on) return;
@@ -81,7 +82,7 @@
   changed();
 }
 
-void StateStandIn::expire() {
+void FakeKeyValueStore::expire() {
   if (outage_) return;
   bool any = false;
   for (auto it = leases_.begin(); it != leases_.end();) {
@@ -104,24 +105,25 @@
   if (any) changed();
 }
 
-Response StateStandIn::commit(const std::string& body) {
+Response FakeKeyValueStore::commit(const std::string& body) {
   const Json json = Json::parse(body);
   Json failed = Json::array();
   for (const auto& guard : json.at("guards")) {
     const auto it = keys_.find(guard.at("k"));
-    const std::uint64_t mark = it == keys_.end() ? 0 : it->second.mark;
-    if (mark != guard.at("mark").get<std::uint64_t>()) failed.push_back(guard.at("k"));
-  }
-  const StateLimits& limits = world_.state_limits;
-  if (static_cast<int>(json.at("apply").size()) > limits.txn_ops ||
-      static_cast<int>(json.at("guards").size()) > 4 * limits.txn_ops || body.size() > 65536) {
-    ++world_.refused_as_too_large;
+    const std::uint64_t revision = it == keys_.end() ? 0 : it->second.revision;
+    if (revision != guard.at("mark").get<std::uint64_t>()) failed.push_back(guard.at("k"));
+  }
+  const StoreLimits& limits = world_.store_limits;
+  if (static_cast<int>(json.at("apply").size()) > limits.max_transaction_changes ||
+      static_cast<int>(json.at("guards").size()) > 4 * limits.max_transaction_changes ||
+      body.size() > 65536) {
+    ++world_.handle_size_refusal;
     return {400, R"({"error":"too large"})", 0};
   }
   for (const auto& item : json.at("apply")) {
     if (!item.contains("write")) continue;
     if (item.at("data").dump().size() > limits.value_kb * 1024) {
-      ++world_.refused_as_too_large;
+      ++world_.handle_size_refusal;
       return {400, R"({"error":"value too large"})", 0};
     }
     if (item.contains("hold") && !leases_.contains(item.at("hold").get<std::uint64_t>())) {
@@ -143,7 +145,7 @@
   return {200, Json{{"ledger", revision_}}.dump(), 0};
 }
 
-Response StateStandIn::list(const std::string& query) const {
+Response FakeKeyValueStore::list(const std::string& query) const {
   const std::string prefix = parameter(query, "starts");
   const std::string since = parameter(query, "since");
   // Small pages, so that paging is exercised.
@@ -157,12 +159,12 @@
       more = true;
       break;
     }
-    pairs.push_back({{"k", it->first}, {"data", it->second.data}, {"mark", it->second.mark}});
+    pairs.push_back({{"k", it->first}, {"data", it->second.data}, {"mark", it->second.revision}});
   }
   return {200, Json{{"pairs", pairs}, {"more", more}, {"ledger", revision_}}.dump(), 0};
 }
 
-void StateStandIn::watch(const std::string& query, const std::string& from, Respond respond) {
+void FakeKeyValueStore::watch(const std::string& query, const std::string& from, Respond respond) {
   auto watcher = std::make_shared<Watcher>();
   watcher->prefix = parameter(query, "starts");
   watcher->since = std::stoull(parameter(query, "since"));
@@ -177,7 +179,7 @@
   });
 }
 
-bool StateStandIn::answer(Watcher& watcher, bool anyway) {
+bool FakeKeyValueStore::answer(Watcher& watcher, bool anyway) {
   // The open watches of a node that is refused wait as they do in an outage.
   if (world_.refused_by_state.contains(watcher.from)) return false;
   if (const auto it = held_.find(watcher.from);
@@ -186,11 +188,11 @@
   }
   Json events = Json::array();
   for (const auto& change : changes_) {
-    if (change.mark <= watcher.since || !change.key.starts_with(watcher.prefix)) continue;
+    if (change.revision <= watcher.since || !change.key.starts_with(watcher.prefix)) continue;
     if (change.dropped) {
-      events.push_back({{"drop", change.key}, {"mark", change.mark}});
+      events.push_back({{"drop", change.key}, {"mark", change.revision}});
     } else {
-      events.push_back({{"write", change.key}, {"data", change.data}, {"mark", change.mark}});
+      events.push_back({{"write", change.key}, {"data", change.data}, {"mark", change.revision}});
     }
   }
   if (events.empty() && !anyway) return false;
@@ -199,7 +201,7 @@
   return true;
 }
 
-void StateStandIn::changed() {
+void FakeKeyValueStore::changed() {
   if (outage_) return;
   const auto watchers = watchers_;
   for (const auto& watcher : watchers) {
--- a/tests/sim/worker.cpp
+++ b/tests/sim/fake_worker.cpp
@@ -28,7 +28,7 @@
   check_lease();
 }
 
-Json Worker::report() {
+Json Worker::heartbeat() {
   Json legs = Json::array();
   for (const auto& [key, task] : tasks_) {
     Json leg{{"leg", key.first.text()}, {"try", key.second}, {"stage", task.state}};
@@ -36,9 +36,9 @@
     if (task.saved) leg["saved"] = true;
     legs.push_back(std::move(leg));
   }
-  Json out{{"perch", name},   {"address", address}, {"breed", type},
-           {"yard", zone},    {"loaners", spot},    {"flight", session_},
-           {"tick", ++tick_}, {"baton", token_},    {"legs", legs}};
+  Json out{{"perch", name},   {"address", address},      {"breed", type},
+           {"yard", zone},    {"loaners", spot},         {"flight", session_},
+           {"tick", ++tick_}, {"baton", fencing_token_}, {"legs", legs}};
   out["recallS"] = taken_at_ >= 0 ? Json(taken_at_ - world_.events.now()) : Json(nullptr);
   return out;
 }
@@ -63,20 +63,20 @@
   in_flight_ = true;
   again_ = false;
   const Seconds sent = reported_at_ = world_.events.now();
-  const std::uint64_t session = session_;
+  const std::uint64_t incarnation = session_;
   const std::string target = "10.0.0." + std::to_string(home_ + 1) + ":8080";
   world_.send(
-      name, target, {"POST", "/checkin", report().dump()}, 4,
-      [this, sent, session](Outcome outcome, const Response& response) {
+      name, target, {"POST", "/checkin", heartbeat().dump()}, 4,
+      [this, sent, incarnation](Outcome outcome, const Response& response) {
         in_flight_ = false;
         if (gone) return;
-        Seconds next = world_.settings.report_s * (0.75 + world_.chance() / 2);
+        Seconds next = world_.settings.heartbeat_interval_s * (0.75 + world_.chance() / 2);
         if (outcome == Outcome::answered && response.status == 200) {
           const Json json = Json::parse(response.body);
-          const std::uint64_t token = json.value("baton", std::uint64_t{0});
-          if (session == session_ && token >= token_) {
-            if (token > token_) {
-              token_ = token;
+          const std::uint64_t fencing_token = json.value("baton", std::uint64_t{0});
+          if (incarnation == session_ && fencing_token >= fencing_token_) {
+            if (fencing_token > fencing_token_) {
+              fencing_token_ = fencing_token;
               again_ = true;
             }
             answered_sent_ = sent;
@@ -129,18 +129,18 @@
     return;
   }
   if (request.target == "/inspect") {
-    respond({200, report().dump(), 0});
+    respond({200, heartbeat().dump(), 0});
     return;
   }
   const Json json = Json::parse(request.body);
-  const std::uint64_t token = json.at("baton");
-  if (token < token_ || json.at("flight").get<std::uint64_t>() != session_) {
-    respond({409, report().dump(), 0});
+  const std::uint64_t fencing_token = json.at("baton");
+  if (fencing_token < fencing_token_ || json.at("flight").get<std::uint64_t>() != session_) {
+    respond({409, heartbeat().dump(), 0});
     return;
   }
-  token_ = token;
+  fencing_token_ = fencing_token;
   carry_out(json.at("calls"));
-  respond({200, report().dump(), 0});
+  respond({200, heartbeat().dump(), 0});
 }
 
 void Worker::carry_out(const Json& calls) {
@@ -315,7 +315,7 @@
   if (gone) return;
   end_all();
   ++session_;
-  token_ = 0;  // all it knew is gone
+  fencing_token_ = 0;  // all it knew is gone
   answered_sent_ = world_.events.now();
   changed();
 }
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -72,7 +72,7 @@
 
 Settings world_settings(const Troubles& troubles) {
   Settings s = testing::settings();
-  if (troubles.next_limits) s.next_state_limits = *troubles.next_limits;
+  if (troubles.next_limits) s.next_store_limits = *troubles.next_limits;
   return s;
 }
 
@@ -99,7 +99,7 @@
   std::shared_ptr<bool> alive;
   std::unique_ptr<NodeClock> clock;
   std::unique_ptr<NodeClient> client;
-  std::unique_ptr<coordination::Node> node;
+  std::unique_ptr<coordination::Controller> node;
 };
 
 World::World(std::uint64_t seed, Troubles t, SendObserver observer)
@@ -108,7 +108,7 @@
       troubles(t),
       checker(settings),
       state(*this),
-      state_limits(settings.state_limits),
+      store_limits(settings.store_limits),
       observer_(std::move(observer)) {
   for (size_t i = 0; i < 3; ++i) {
     hosts_.push_back(std::make_unique<Host>());
@@ -134,7 +134,7 @@
   const double drift = 1 + 0.0005 * chance();
   host.clock = std::make_unique<NodeClock>(*this, host.settings.member, host.alive, drift);
   host.client = std::make_unique<NodeClient>(*this, host.settings.member, host.alive);
-  host.node = std::make_unique<coordination::Node>(*host.clock, *host.client, host.settings);
+  host.node = std::make_unique<coordination::Controller>(*host.clock, *host.client, host.settings);
   host.node->start();
 }
 
@@ -150,14 +150,14 @@
 void World::run_first_version(size_t i) {
   Host& host = *hosts_[i];
   host.first_version = true;
-  host.settings.next_state_limits = host.settings.state_limits;
+  host.settings.next_store_limits = host.settings.store_limits;
   kill(i, 0.1);
 }
 
 void World::upgrade(size_t i, Seconds down) {
   Host& host = *hosts_[i];
   host.first_version = false;
-  host.settings.next_state_limits = settings.next_state_limits;
+  host.settings.next_store_limits = settings.next_store_limits;
   kill(i, down);
 }
 
@@ -210,7 +210,7 @@
   return count;
 }
 
-coordination::Node& World::node(size_t i) { return *hosts_[i]->node; }
+coordination::Controller& World::node(size_t i) { return *hosts_[i]->node; }
 
 bool World::is_up(size_t i) const { return hosts_[i]->node != nullptr; }
 
@@ -362,7 +362,7 @@
   if (is_deaf(to)) return;
   if (const auto it = mute_.find(from); it != mute_.end() && it->second > now) return;
   if (troubles.copies > 0 &&
-      (request.target == protocol::kReportPath || request.target == protocol::kRelayPath) &&
+      (request.target == protocol::kHeartbeatPath || request.target == protocol::kRelayPath) &&
       chance() < troubles.copies) {
     const Seconds copy = now + 1 + chance() * 3 * settings.lease_s;
     events.at(copy, [this, from, address, request] {
@@ -376,10 +376,10 @@
       deliver(from, address, request, [](const Response&) {});
     });
   }
-  if (request.target == protocol::kReportPath) last_report_[from] = request;
+  if (request.target == protocol::kHeartbeatPath) last_report_[from] = request;
   const bool lost = chance() < troubles.lost;
   const bool slow =
-      troubles.slow > 0 && request.target == protocol::kReportPath && chance() < troubles.slow;
+      troubles.slow > 0 && request.target == protocol::kHeartbeatPath && chance() < troubles.slow;
   const Seconds back = 0.001 + (slow ? chance() * 3.9 : chance() * 0.004);
   events.at(arrives, [this, from, to, address, request = std::move(request), finish, lost, back] {
     deliver(from, address, request, [this, from, to, finish, lost, back](const Response& response) {
@@ -431,7 +431,7 @@
     Host& host = *hosts_[static_cast<size_t>(to.back() - '0')];
     if (!*host.alive) return;
     if (request.target == protocol::kRelayPath) ++relayed;
-    if (request.target == protocol::kReportPath) {
+    if (request.target == protocol::kHeartbeatPath) {
       respond = [this, respond = std::move(respond)](const Response& response) {
         if (response.status == 200) note_launches(Json::parse(response.body).at("calls"));
         respond(response);
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/node.hpp"
+#include "coordination/controller/controller.hpp"
 #include "sim/checker.hpp"
 #include "support.hpp"
 
@@ -44,9 +44,9 @@
 };
 
 // The state service, as its page describes it.
-class StateStandIn {
+class FakeKeyValueStore {
  public:
-  explicit StateStandIn(World& world) : world_(world) {}
+  explicit FakeKeyValueStore(World& world) : world_(world) {}
   void handle(const Request& request, const std::string& from, Respond respond);
   void set_outage(bool on);
   // Watches of this node are answered no more until then, though all else is.
@@ -59,7 +59,7 @@
  private:
   struct Key {
     Json data;
-    std::uint64_t mark = 0;
+    std::uint64_t revision = 0;
     std::uint64_t lease = 0;
   };
   struct Lease {
@@ -67,7 +67,7 @@
     Seconds ends = 0;
   };
   struct Change {
-    std::uint64_t mark;
+    std::uint64_t revision;
     std::string key;
     bool dropped;
     Json data;
@@ -135,7 +135,7 @@
     std::uint64_t serial = 0;
   };
   using Key = std::pair<TaskId, std::uint64_t>;
-  Json report();
+  Json heartbeat();
   void send_report();
   void changed();
   void carry_out(const Json& calls);
@@ -155,7 +155,7 @@
   std::map<Key, Task> tasks_;
   std::uint64_t session_ = 1;
   std::uint64_t tick_ = 0;
-  std::uint64_t token_ = 0;
+  std::uint64_t fencing_token_ = 0;
   Seconds answered_sent_ = 0;
   Seconds reported_at_ = -1;
   Seconds taken_at_ = -1;
@@ -181,7 +181,7 @@
   double copied_commands = 0;   // direct commands that are carried out once more, late
   Seconds fetch = 1;            // how long a machine takes for an image
   // Limits of the state service that the settings announce, if any.
-  std::optional<StateLimits> next_limits{};
+  std::optional<StoreLimits> next_limits{};
 };
 
 // Told of everything that a controller sends, in order: a request, as the controller made it, with
@@ -243,7 +243,7 @@
   void repeat_last_report(const std::string& machine, Seconds length);
   size_t machines_gone() const;
   size_t leader() const;  // count of nodes when none leads
-  coordination::Node& node(size_t i);
+  coordination::Controller& node(size_t i);
   bool is_up(size_t i) const;
   bool all_over() const;
   std::string unfinished() const;
@@ -262,7 +262,7 @@
   std::mt19937_64 random;
   Troubles troubles;
   Checker checker;
-  StateStandIn state;
+  FakeKeyValueStore state;
   std::vector<std::shared_ptr<Worker>> workers;
   std::map<std::string, std::set<std::uint32_t>> results;  // of completed tasks
   size_t relayed = 0;                                      // batches of reports
@@ -274,8 +274,8 @@
   int commit_again(const std::pair<std::string, Request>& commit);
   bool has_keys(const std::string& prefix) const { return state.has_keys(prefix); }
   // Of the state service, which may change on the way.
-  StateLimits state_limits;
-  size_t refused_as_too_large = 0;         // transactions, by the state service
+  StoreLimits store_limits;
+  size_t handle_size_refusal = 0;          // transactions, by the state service
   std::set<std::string> refused_by_state;  // nodes it answers 503
 
   // The cloud.
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -552,7 +552,7 @@
       world.repeat_last_report(worker->name, 70);
     }
   });
-  world.run(25 + world.settings.lease_s + 30 + 3 * world.settings.report_s + 5);
+  world.run(25 + world.settings.lease_s + 30 + 3 * world.settings.heartbeat_interval_s + 5);
   EXPECT_TRUE(world.all_over()) << world.unfinished();
   for (const auto& line : world.checker.broken()) ADD_FAILURE() << line;
 }
@@ -563,30 +563,30 @@
   world.run(10);
   const size_t leader = world.leader();
   ASSERT_LT(leader, 3u);
-  const std::uint64_t token = world.node(leader).election().token();
+  const std::uint64_t fencing_token = world.node(leader).election().fencing_token();
   const std::string peer = node((leader + 1) % 3);
-  const std::string words =
+  const std::string payload =
       R"({"perch":"i-9","address":"10.1.0.9:9000","breed":"small","yard":"east","loaners":false,)"
       R"("flight":1,"tick":1,"baton":0,"recallS":null,"legs":[]})";
   const struct {
     const char* what;
     size_t to;
     std::string member;
-    std::uint64_t token;
+    std::uint64_t fencing_token;
     int status;
   } cases[] = {
-      {"no peer", leader, "node-7", token, 400},
-      {"itself", leader, node(leader), token, 400},
-      {"an earlier leadership", leader, peer, token - 1, 409},
-      {"a later one", leader, peer, token + 1, 409},
-      {"a node that does not lead", (leader + 1) % 3, node((leader + 2) % 3), token, 421},
-      {"as it should be", leader, peer, token, 200},
+      {"no peer", leader, "node-7", fencing_token, 400},
+      {"itself", leader, node(leader), fencing_token, 400},
+      {"an earlier leadership", leader, peer, fencing_token - 1, 409},
+      {"a later one", leader, peer, fencing_token + 1, 409},
+      {"a node that does not lead", (leader + 1) % 3, node((leader + 2) % 3), fencing_token, 421},
+      {"as it should be", leader, peer, fencing_token, 200},
   };
   for (const auto& c : cases) {
     Response got;
     world.node(c.to).handle_peer(
         {"POST", protocol::kRelayPath,
-         protocol::encode_batch({c.member, c.token, {{words, "", 0, 0, 0}}})},
+         protocol::encode_batch({c.member, c.fencing_token, {{payload, "", 0, 0, 0}}})},
         [&](const Response& response) { got = response; });
     EXPECT_EQ(got.status, c.status) << c.what;
     EXPECT_EQ(got.body.find("baton") != std::string::npos, c.status == 200) << c.what;
--- a/tests/store_relay_test.cpp
+++ b/tests/store_relay_test.cpp
@@ -43,13 +43,13 @@
   expect_no_breach(world);
 }
 
-// The rules give it `cancel_s`; the leader's answers bring it within a few reports.
+// The rules give it `cancellation_limit_s`; the leader's answers bring it within a few reports.
 TEST_F(ZonesApart, ACancellationReachesTheOtherZone) {
   cut(40);
   world.run(45);
   world.cancel("job-1");
   world.cancel("job-2");
-  world.run(45 + 4 * world.settings.report_s);
+  world.run(45 + 4 * world.settings.heartbeat_interval_s);
   EXPECT_EQ(world.running_tasks("job-1") + world.running_tasks("job-2"), 0u);
   expect_no_breach(world);
 }
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "coordination/cluster_state.hpp"
+#include "coordination/cluster_state/cluster_state.hpp"
 #include "settings.hpp"
 
 namespace larkroad::testing {
@@ -119,14 +119,14 @@
                                  const std::string& type, const std::string& zone = "east",
                                  bool spot = false) {
   auto& m = cluster.machine(name);
-  m.heard = true;
-  m.present = true;
-  m.session = 1;
+  m.has_reported = true;
+  m.identity_confirmed = true;
+  m.incarnation = 1;
   m.zone = zone;
   m.spot = spot;
   m.address = "10.0.0.1:1";
   m.rented_at = 0.001;
-  m.reported_at = 1e6;  // later than any time of the tests: it goes on reporting
+  m.last_worker_heartbeat_at = 1e6;  // later than any time of the tests: it goes on reporting
   cluster.set_type(m, type);
   return m;
 }
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -10,11 +10,11 @@
 
 using testing::service;
 
-constexpr StateLimits kNextLimits{1, 4, 35, 100};
+constexpr StoreLimits kNextLimits{1, 4, 35, 100};
 
 void expect_nothing_refused(const World& world) {
   expect_no_breach(world);
-  EXPECT_EQ(world.refused_as_too_large, 0u);
+  EXPECT_EQ(world.handle_size_refusal, 0u);
 }
 
 void all_run_first_version(World& world) {
@@ -101,7 +101,7 @@
     world.submit(spec, 82 + 4 * k);
     world.events.at(140 + 5 * k, [&world, id = spec.id] { world.cancel(id); });
   }
-  world.events.at(95, [&world] { world.state_limits = kNextLimits; });
+  world.events.at(95, [&world] { world.store_limits = kNextLimits; });
 }
 
 Troubles with_next_limits(Troubles troubles) {
@@ -196,7 +196,7 @@
   world.run(40);
   ASSERT_EQ(world.running_tasks("job-1"), 64u);
   upgrade_all();
-  world.events.at(45, [this] { world.state_limits = kNextLimits; });
+  world.events.at(45, [this] { world.store_limits = kNextLimits; });
   to_leader(world, 60, [this](size_t i) { world.kill(i, 1); });
   world.run(140);
   EXPECT_TRUE(world.all_over()) << world.unfinished();
@@ -208,9 +208,9 @@
   world.run(40);
   ASSERT_EQ(world.running_tasks("job-1"), 64u);
   upgrade_all();
-  world.events.at(45, [this] { world.state_limits = kNextLimits; });
+  world.events.at(45, [this] { world.store_limits = kNextLimits; });
   world.events.at(60, [this] { world.cancel("job-1"); });
-  world.run(60 + world.settings.cancel_s);
+  world.run(60 + world.settings.cancellation_limit_s);
   EXPECT_EQ(world.running_tasks("job-1"), 0u);
   EXPECT_TRUE(world.all_over()) << world.unfinished();
   expect_nothing_refused(world);
@@ -221,7 +221,7 @@
   world.run(30);
   ASSERT_EQ(world.running_tasks("job-1"), 64u);
   upgrade_all();
-  world.events.at(34, [this] { world.state_limits = kNextLimits; });
+  world.events.at(34, [this] { world.store_limits = kNextLimits; });
   world.events.at(38, [this] {
     for (const auto& worker : world.workers) worker->vanish();
   });
@@ -243,7 +243,7 @@
   ASSERT_EQ(world.running_tasks("job-1"), 64u);
   ASSERT_EQ(world.running_tasks("job-2"), 0u);
   upgrade_all();
-  world.events.at(45, [this] { world.state_limits = kNextLimits; });
+  world.events.at(45, [this] { world.store_limits = kNextLimits; });
   to_leader(world, 75, [this](size_t i) { world.kill(i, 1); });
   world.run(200);
   EXPECT_TRUE(world.all_over()) << world.unfinished();
@@ -260,7 +260,7 @@
   world.run(32);
   ASSERT_EQ(world.running_tasks("job-1"), 40u);
   upgrade_all();
-  world.events.at(36, [this] { world.state_limits = kNextLimits; });
+  world.events.at(36, [this] { world.store_limits = kNextLimits; });
   world.events.at(40, [this] {
     for (const auto& worker : world.workers) {
       if (worker->gone || !worker->runs("job-1")) continue;
@@ -282,7 +282,7 @@
   world.run(30);
   ASSERT_EQ(world.running_tasks("job-1"), 2u);
   upgrade_all();
-  world.events.at(35, [this] { world.state_limits = kNextLimits; });
+  world.events.at(35, [this] { world.store_limits = kNextLimits; });
   world.run(50);
   named.id = "job-2";
   EXPECT_EQ(status_of_submission(world, 0, named), 400);
@@ -299,7 +299,7 @@
 TEST(UnannouncedLimits, SmallerTransactionsAreTried) {
   World world(1, {});
   world.submit_some(30, 60);
-  world.events.at(20, [&world] { world.state_limits.txn_ops = 2; });
+  world.events.at(20, [&world] { world.store_limits.max_transaction_changes = 2; });
   JobSpec wide = testing::spec("job-1", 200, 0.25);
   wide.memory_gb = 0.1;
   wide.team = "blue";
@@ -307,8 +307,8 @@
   world.run(300);
   EXPECT_TRUE(world.all_over()) << world.unfinished();
   expect_no_breach(world);
-  EXPECT_GT(world.refused_as_too_large, 0u);
-  EXPECT_LT(world.refused_as_too_large, 200u);
+  EXPECT_GT(world.handle_size_refusal, 0u);
+  EXPECT_LT(world.handle_size_refusal, 200u);
 }
 
 }  // namespace
