--- a/src/coordination/leader/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -31,16 +31,13 @@
       election_(election),
       catalog_(catalog),
       settings_(settings),
+      scope_(clock),
       transaction_changes_(settings.lasting_store_limits().max_transaction_changes),
       cluster_(settings),
       relay_assignment_(settings) {}
 
-void Leader::later(Seconds delay, std::function<void()> fn) {
-  clock_.after(delay, if_still_leading(std::move(fn)));
-}
-
 void Leader::begin(bool spread) {
-  ++epoch_;
+  scope_.restart();
   relay_assignment_.clear(spread);
   ready_ = false;
   loading_ = true;
@@ -75,7 +72,7 @@
 }
 
 void Leader::end() {
-  ++epoch_;
+  scope_.restart();
   ready_ = false;
   loading_ = false;
   cluster_.clear();
@@ -90,7 +87,7 @@
   const Seconds now = clock_.now();
   lag_.fired(next_periodic_run_, now);
   next_periodic_run_ = now + settings_.heartbeat_interval_s * kRetryRatio;
-  later(settings_.heartbeat_interval_s * kRetryRatio, [this] { run_periodic_tasks(); });
+  scope_.after(settings_.heartbeat_interval_s * kRetryRatio, [this] { run_periodic_tasks(); });
   if (!election_.leads()) return;
   std::vector<std::string> silent;
   for (auto& [name, machine] : cluster_.machines()) {
@@ -135,7 +132,7 @@
   plan_armed_ = true;
   const Seconds pause =
       std::max(settings_.heartbeat_interval_s * kPlanDelayRatio, plan_next_ - clock_.now());
-  later(pause, [this] {
+  scope_.after(pause, [this] {
     plan_armed_ = false;
     make_plan();
   });
--- a/src/coordination/leader/leader.hpp
+++ b/src/coordination/leader/leader.hpp
@@ -20,6 +20,7 @@
 #include "protocol/relay_messages.hpp"
 #include "protocol/worker_messages.hpp"
 #include "storage/key_value_client.hpp"
+#include "transport/callback_scope.hpp"
 #include "transport/http.hpp"
 
 namespace larkroad::coordination {
@@ -66,15 +67,6 @@
   // Loops and retries, as a part of the workers' report interval.
   static constexpr double kRetryRatio = 1.0 / 10;
 
-  // Callbacks of an earlier leadership must not touch the present one.
-  template <typename Fn>
-  auto if_still_leading(Fn fn) {
-    return [this, epoch = epoch_, fn = std::move(fn)](auto&&... args) {
-      if (epoch == epoch_) fn(std::forward<decltype(args)>(args)...);
-    };
-  }
-  void later(Seconds delay, std::function<void()> fn);
-
   // Loading.
   void load_jobs(const std::string& after);
   void load_placements(const std::string& after);
@@ -165,7 +157,7 @@
 
   // How many changes the state service takes in one transaction, as far as is known.
   int transaction_changes_;
-  std::uint64_t epoch_ = 0;
+  transport::CallbackScope scope_;  // of this term of leadership
   bool ready_ = false;
   bool loading_ = false;
   Seconds loading_since_ = 0;  // when the first page of the jobs was asked for
--- a/src/coordination/leader/leader_cloud.cpp
+++ b/src/coordination/leader/leader_cloud.cpp
@@ -18,7 +18,7 @@
 }  // namespace
 
 void Leader::scale() {
-  later(settings_.heartbeat_interval_s * kFleetRatio, [this] { scale(); });
+  scope_.after(settings_.heartbeat_interval_s * kFleetRatio, [this] { scale(); });
   record_images();
   if (spdlog::should_log(spdlog::level::debug)) log_use();
   if (!election_.leads() || !catalog_.known()) return;
@@ -119,8 +119,7 @@
   client_.call(
       settings_.cloud.text(), {"POST", protocol::kRentPath, protocol::encode_rental(request)},
       kCloudTimeout,
-      if_still_leading([this, request, sent](transport::Outcome outcome,
-                                             transport::Response response) {
+      scope_.wrap([this, request, sent](transport::Outcome outcome, transport::Response response) {
         const Market market{request.type, request.zone, request.spot};
         const auto settled = [&] {
           auto& pending = pending_rentals_[market];
@@ -164,7 +163,8 @@
           return;
         }
         // Without an answer it is repeated as it was, whether or not it was carried out.
-        later(settings_.heartbeat_interval_s, [this, request] { send_rental_request(request); });
+        scope_.after(settings_.heartbeat_interval_s,
+                     [this, request] { send_rental_request(request); });
       }));
 }
 
@@ -179,81 +179,80 @@
   }
   if (batch.empty()) return;
   spdlog::info("returns {} machines, first {}", batch.size(), batch.front());
-  client_.call(
-      settings_.cloud.text(), {"POST", protocol::kReturnPath, protocol::encode_return(batch)},
-      kCloudTimeout,
-      if_still_leading([this, batch](transport::Outcome outcome, transport::Response response) {
-        if (outcome == transport::Outcome::answered && response.status == 200) {
-          for (const auto& name : batch) remove_machine(name, "returned");
-          return;
-        }
-        later(settings_.heartbeat_interval_s, [this, batch] {
-          for (const auto& name : batch) {
-            if (Machine* machine = cluster_.find_machine(name)) machine->being_released = false;
-          }
-          release_machines(batch);
-        });
-      }));
+  client_.call(settings_.cloud.text(),
+               {"POST", protocol::kReturnPath, protocol::encode_return(batch)}, kCloudTimeout,
+               scope_.wrap([this, batch](transport::Outcome outcome, transport::Response response) {
+                 if (outcome == transport::Outcome::answered && response.status == 200) {
+                   for (const auto& name : batch) remove_machine(name, "returned");
+                   return;
+                 }
+                 scope_.after(settings_.heartbeat_interval_s, [this, batch] {
+                   for (const auto& name : batch) {
+                     if (Machine* machine = cluster_.find_machine(name))
+                       machine->being_released = false;
+                   }
+                   release_machines(batch);
+                 });
+               }));
 }
 
 void Leader::list_machines() {
-  later(settings_.list_lag_s > 0 ? settings_.list_lag_s / 2 : settings_.heartbeat_interval_s,
-        [this] { list_machines(); });
+  scope_.after(settings_.list_lag_s > 0 ? settings_.list_lag_s / 2 : settings_.heartbeat_interval_s,
+               [this] { list_machines(); });
   if (listing_ || !election_.leads()) return;
   listing_ = true;
   list_page("", clock_.now());
 }
 
 void Leader::list_page(const std::string& after, Seconds begun) {
-  client_.call(
-      settings_.cloud.text(), {"GET", protocol::list_target(after), ""}, kCloudTimeout,
-      if_still_leading([this, begun](transport::Outcome outcome, transport::Response response) {
-        if (outcome != transport::Outcome::answered || response.status != 200) {
-          listing_ = false;
-          return;
-        }
-        try {
-          const auto page = protocol::parse_machine_page(response.body);
-          const Seconds now = clock_.now();
-          std::vector<std::string> failed;
-          for (const auto& listed : page.machines) {
-            if (removed_machines_.contains(listed.name)) continue;
-            Machine& machine = cluster_.machine(listed.name);
-            machine.listed_at = begun;
-            if (machine.rented_at == 0) machine.rented_at = now - listed.age_s;
-            if (machine.type.empty()) {
-              machine.zone = listed.zone;
-              machine.spot = listed.spot;
-              cluster_.set_type(machine, listed.type);
-            }
-            if (machine.address.empty()) machine.address = listed.address;
-            if (listed.state == protocol::ListedState::failed) {
-              failed.push_back(listed.name);
-            } else if (listed.state == protocol::ListedState::running && !machine.has_reported &&
-                       !machine.address.empty()) {
-              inspect(machine);
-            }
-          }
-          for (const auto& name : failed) {
-            // It stopped on its own, and all that was on it; it stays listed until it is
-            // deleted.
-            Machine* machine = cluster_.find_machine(name);
-            if (machine == nullptr || machine->being_released) continue;
-            all_gone(*machine, "machine " + name + " has failed");
-            release_machines({name});
-          }
-          if (page.more && !page.machines.empty()) {
-            list_page(page.machines.back().name, begun);
-            return;
-          }
-        } catch (const std::exception& error) {
-          spdlog::error("cloud: {}", error.what());
-          listing_ = false;
-          return;
-        }
-        listing_ = false;
-        listed(begun);
-      }));
+  client_.call(settings_.cloud.text(), {"GET", protocol::list_target(after), ""}, kCloudTimeout,
+               scope_.wrap([this, begun](transport::Outcome outcome, transport::Response response) {
+                 if (outcome != transport::Outcome::answered || response.status != 200) {
+                   listing_ = false;
+                   return;
+                 }
+                 try {
+                   const auto page = protocol::parse_machine_page(response.body);
+                   const Seconds now = clock_.now();
+                   std::vector<std::string> failed;
+                   for (const auto& listed : page.machines) {
+                     if (removed_machines_.contains(listed.name)) continue;
+                     Machine& machine = cluster_.machine(listed.name);
+                     machine.listed_at = begun;
+                     if (machine.rented_at == 0) machine.rented_at = now - listed.age_s;
+                     if (machine.type.empty()) {
+                       machine.zone = listed.zone;
+                       machine.spot = listed.spot;
+                       cluster_.set_type(machine, listed.type);
+                     }
+                     if (machine.address.empty()) machine.address = listed.address;
+                     if (listed.state == protocol::ListedState::failed) {
+                       failed.push_back(listed.name);
+                     } else if (listed.state == protocol::ListedState::running &&
+                                !machine.has_reported && !machine.address.empty()) {
+                       inspect(machine);
+                     }
+                   }
+                   for (const auto& name : failed) {
+                     // It stopped on its own, and all that was on it; it stays listed until it is
+                     // deleted.
+                     Machine* machine = cluster_.find_machine(name);
+                     if (machine == nullptr || machine->being_released) continue;
+                     all_gone(*machine, "machine " + name + " has failed");
+                     release_machines({name});
+                   }
+                   if (page.more && !page.machines.empty()) {
+                     list_page(page.machines.back().name, begun);
+                     return;
+                   }
+                 } catch (const std::exception& error) {
+                   spdlog::error("cloud: {}", error.what());
+                   listing_ = false;
+                   return;
+                 }
+                 listing_ = false;
+                 listed(begun);
+               }));
 }
 
 void Leader::listed(Seconds begun) {
--- a/src/coordination/leader/leader_loading.cpp
+++ b/src/coordination/leader/leader_loading.cpp
@@ -17,33 +17,33 @@
 
 void Leader::load_jobs(const std::string& after) {
   if (watched_to_ == 0) loading_since_ = clock_.now();
-  store_.list(storage::kJobPrefix, after, if_still_leading([this, after](storage::ListReply reply) {
-                if (reply.status != Status::ok) {
-                  later(settings_.heartbeat_interval_s * kRetryRatio,
-                        [this, after] { load_jobs(after); });
-                  return;
-                }
-                // Changes since the first page are in the watch.
-                if (watched_to_ == 0) watched_to_ = reply.revision;
-                for (const auto& entry : reply.entries) {
-                  apply_job(entry.key.substr(std::string(storage::kJobPrefix).size()), entry.data,
-                            entry.revision);
-                }
-                if (reply.more && !reply.entries.empty()) {
-                  load_jobs(reply.entries.back().key);
-                } else {
-                  load_placements("");
-                }
-              }),
+  store_.list(storage::kJobPrefix, after, scope_.wrap([this, after](storage::ListReply reply) {
+    if (reply.status != Status::ok) {
+      scope_.after(settings_.heartbeat_interval_s * kRetryRatio,
+                   [this, after] { load_jobs(after); });
+      return;
+    }
+    // Changes since the first page are in the watch.
+    if (watched_to_ == 0) watched_to_ = reply.revision;
+    for (const auto& entry : reply.entries) {
+      apply_job(entry.key.substr(std::string(storage::kJobPrefix).size()), entry.data,
+                entry.revision);
+    }
+    if (reply.more && !reply.entries.empty()) {
+      load_jobs(reply.entries.back().key);
+    } else {
+      load_placements("");
+    }
+  }),
               kRecoveryPriority);
 }
 
 void Leader::load_placements(const std::string& after) {
   store_.list(storage::kPlacementPrefix, after,
-              if_still_leading([this, after](storage::ListReply reply) {
+              scope_.wrap([this, after](storage::ListReply reply) {
                 if (reply.status != Status::ok) {
-                  later(settings_.heartbeat_interval_s * kRetryRatio,
-                        [this, after] { load_placements(after); });
+                  scope_.after(settings_.heartbeat_interval_s * kRetryRatio,
+                               [this, after] { load_placements(after); });
                   return;
                 }
                 for (auto& entry : reply.entries) loaded_placements_.push_back(std::move(entry));
@@ -57,28 +57,27 @@
 }
 
 void Leader::load_images(const std::string& after) {
-  store_.list(
-      storage::kMachinePrefix, after, if_still_leading([this, after](storage::ListReply reply) {
-        if (reply.status != Status::ok) {
-          later(settings_.heartbeat_interval_s * kRetryRatio,
-                [this, after] { load_images(after); });
-          return;
-        }
-        for (const auto& entry : reply.entries) {
-          const std::string name = entry.key.substr(std::string(storage::kMachinePrefix).size());
-          try {
-            loaded_images_[name] = storage::decode_images(entry.data);
-          } catch (const std::exception& error) {
-            spdlog::error("record {}: {}", entry.key, error.what());
-          }
-        }
-        if (reply.more && !reply.entries.empty()) {
-          load_images(reply.entries.back().key);
-        } else {
-          loaded();
-        }
-      }),
-      kRecoveryPriority);
+  store_.list(storage::kMachinePrefix, after, scope_.wrap([this, after](storage::ListReply reply) {
+    if (reply.status != Status::ok) {
+      scope_.after(settings_.heartbeat_interval_s * kRetryRatio,
+                   [this, after] { load_images(after); });
+      return;
+    }
+    for (const auto& entry : reply.entries) {
+      const std::string name = entry.key.substr(std::string(storage::kMachinePrefix).size());
+      try {
+        loaded_images_[name] = storage::decode_images(entry.data);
+      } catch (const std::exception& error) {
+        spdlog::error("record {}: {}", entry.key, error.what());
+      }
+    }
+    if (reply.more && !reply.entries.empty()) {
+      load_images(reply.entries.back().key);
+    } else {
+      loaded();
+    }
+  }),
+              kRecoveryPriority);
 }
 
 void Leader::loaded() {
@@ -148,7 +147,7 @@
   const Seconds sent = clock_.now();
   store_.watch(
       storage::kJobPrefix, watched_to_, election_.view_interval(),
-      if_still_leading([this, sent](storage::WatchReply reply) {
+      scope_.wrap([this, sent](storage::WatchReply reply) {
         if (reply.status == Status::ok) {
           for (const auto& event : reply.events) {
             const std::string id = event.key.substr(std::string(storage::kJobPrefix).size());
@@ -161,7 +160,7 @@
         } else if (reply.status == Status::too_old) {
           election_.resign("missed changes of the jobs");
         } else {
-          later(settings_.heartbeat_interval_s * kRetryRatio, [this] { watch_jobs(); });
+          scope_.after(settings_.heartbeat_interval_s * kRetryRatio, [this] { watch_jobs(); });
         }
       }));
 }
@@ -206,25 +205,24 @@
 }
 
 void Leader::refresh_job(const std::string& id) {
-  store_.get(
-      storage::job_key(id), if_still_leading([this, id](Status status, storage::Entry entry) {
-        if (status == Status::ok) {
-          apply_job(id, entry.data, entry.revision);
-          if (Job* job = cluster_.job(id)) {
-            job->write_in_flight = false;
-            if (job->cancelled_by_peer) {
-              // The record says otherwise, and it is the record that counts.
-              job->cancelled = job->cancelled_by_peer = false;
-              request_plan();
-            }
-            persist(*job);
-          }
-        } else if (status == Status::missing) {
-          election_.resign("the record of " + id + " is gone");
-        } else {
-          later(settings_.heartbeat_interval_s * kRetryRatio, [this, id] { refresh_job(id); });
+  store_.get(storage::job_key(id), scope_.wrap([this, id](Status status, storage::Entry entry) {
+    if (status == Status::ok) {
+      apply_job(id, entry.data, entry.revision);
+      if (Job* job = cluster_.job(id)) {
+        job->write_in_flight = false;
+        if (job->cancelled_by_peer) {
+          // The record says otherwise, and it is the record that counts.
+          job->cancelled = job->cancelled_by_peer = false;
+          request_plan();
         }
-      }));
+        persist(*job);
+      }
+    } else if (status == Status::missing) {
+      election_.resign("the record of " + id + " is gone");
+    } else {
+      scope_.after(settings_.heartbeat_interval_s * kRetryRatio, [this, id] { refresh_job(id); });
+    }
+  }));
 }
 
 }  // namespace larkroad::coordination
--- a/src/coordination/leader/leader_records.cpp
+++ b/src/coordination/leader/leader_records.cpp
@@ -96,11 +96,10 @@
   job.write_in_flight = true;
   const bool low = job.effective_priority() == protocol::Priority::low;
   store_.commit_until_certain(
-      std::move(txn), [this, epoch = epoch_] { return epoch == epoch_; },
-      if_still_leading(
-          [this, id = job.id(), shards, recorded, done](const storage::CommitReply& reply) {
-            persisted(id, shards, recorded, done, reply);
-          }),
+      std::move(txn), scope_.is_current(),
+      scope_.wrap([this, id = job.id(), shards, recorded, done](const storage::CommitReply& reply) {
+        persisted(id, shards, recorded, done, reply);
+      }),
       low ? storage::RequestPriority::bulk : storage::RequestPriority::scheduling);
 }
 
@@ -119,7 +118,7 @@
     }
     if (reply.status == Status::conflict && reply.failed_machines(storage::kLeaderKey)) {
       // Either this node raised its own token meanwhile, or it no longer leads and will hear so.
-      later(settings_.heartbeat_interval_s * kRetryRatio, [this, id] {
+      scope_.after(settings_.heartbeat_interval_s * kRetryRatio, [this, id] {
         if (Job* again = cluster_.job(id)) persist(*again);
       });
       return;
@@ -194,8 +193,8 @@
   }
   job.write_in_flight = true;
   store_.commit_until_certain(
-      std::move(txn), [this, epoch = epoch_] { return epoch == epoch_; },
-      if_still_leading([this, id = job.id(), rest](const storage::CommitReply& reply) {
+      std::move(txn), scope_.is_current(),
+      scope_.wrap([this, id = job.id(), rest](const storage::CommitReply& reply) {
         Job* job = cluster_.job(id);
         if (job == nullptr) return;
         if (reply.status == Status::ok) {
@@ -213,13 +212,13 @@
         }
         const bool refused = reply.status == Status::invalid;
         if (refused) handle_size_refusal(*job, {});
-        later(settings_.heartbeat_interval_s * (refused ? kRefusedReports : kRetryRatio),
-              [this, id] {
-                Job* again = cluster_.job(id);
-                if (again == nullptr) return;
-                again->write_in_flight = false;
-                persist(*again);
-              });
+        scope_.after(settings_.heartbeat_interval_s * (refused ? kRefusedReports : kRetryRatio),
+                     [this, id] {
+                       Job* again = cluster_.job(id);
+                       if (again == nullptr) return;
+                       again->write_in_flight = false;
+                       persist(*again);
+                     });
       }));
 }
 
@@ -257,8 +256,8 @@
   txn.writes.push_back({storage::job_key(job.id()), storage::encode(record), std::nullopt});
   job.write_in_flight = true;
   store_.commit_until_certain(
-      std::move(txn), [this, epoch = epoch_] { return epoch == epoch_; },
-      if_still_leading([this, id = job.id(), tasks_per_shard](const storage::CommitReply& reply) {
+      std::move(txn), scope_.is_current(),
+      scope_.wrap([this, id = job.id(), tasks_per_shard](const storage::CommitReply& reply) {
         Job* shrunk = cluster_.job(id);
         if (shrunk == nullptr) return;
         if (reply.status == Status::conflict && reply.failed_machines(storage::job_key(id))) {
@@ -287,15 +286,12 @@
     txn.deletes.push_back(std::move(garbage_.back()));
     garbage_.pop_back();
   }
-  store_.commit(txn,
-                if_still_leading([this, keys = txn.deletes](const storage::CommitReply& reply) {
-                  dropping_ = false;
-                  if (reply.status != Status::ok)
-                    garbage_.insert(garbage_.end(), keys.begin(), keys.end());
-                  // What is left of jobs that are over has no hurry.
-                  if (!garbage_.empty())
-                    later(settings_.heartbeat_interval_s, [this] { drop_garbage(); });
-                }),
+  store_.commit(txn, scope_.wrap([this, keys = txn.deletes](const storage::CommitReply& reply) {
+    dropping_ = false;
+    if (reply.status != Status::ok) garbage_.insert(garbage_.end(), keys.begin(), keys.end());
+    // What is left of jobs that are over has no hurry.
+    if (!garbage_.empty()) scope_.after(settings_.heartbeat_interval_s, [this] { drop_garbage(); });
+  }),
                 storage::RequestPriority::background);
 }
 
@@ -326,14 +322,13 @@
   }
   if (names.empty()) return;
   recording_images_ = true;
-  store_.commit(txn, if_still_leading([this, names](const storage::CommitReply& reply) {
-                  recording_images_ = false;
-                  if (reply.status == Status::ok) return;
-                  for (const auto& name : names) {
-                    if (Machine* machine = cluster_.find_machine(name))
-                      machine->images_changed = true;
-                  }
-                }),
+  store_.commit(txn, scope_.wrap([this, names](const storage::CommitReply& reply) {
+    recording_images_ = false;
+    if (reply.status == Status::ok) return;
+    for (const auto& name : names) {
+      if (Machine* machine = cluster_.find_machine(name)) machine->images_changed = true;
+    }
+  }),
                 storage::RequestPriority::background);
 }
 
--- a/src/coordination/leader/leader_workers.cpp
+++ b/src/coordination/leader/leader_workers.cpp
@@ -567,7 +567,7 @@
   queued.commands.insert(queued.commands.end(), commands.begin(), commands.end());
   if (sending_armed_) return;
   sending_armed_ = true;
-  later(settings_.heartbeat_interval_s * kGatherRatio, [this] {
+  scope_.after(settings_.heartbeat_interval_s * kGatherRatio, [this] {
     sending_armed_ = false;
     send_queued_commands();
   });
@@ -621,11 +621,11 @@
   transport::Request request{
       "POST", protocol::kCommandsPath,
       protocol::encode_commands(election_.fencing_token(), machine.incarnation, commands)};
-  client_.call(machine.address, std::move(request), settings_.heartbeat_interval_s * kDirectRatio,
-               if_still_leading([this, name, commands](transport::Outcome outcome,
-                                                       transport::Response response) {
-                 commands_answered(name, commands, outcome, response);
-               }));
+  client_.call(
+      machine.address, std::move(request), settings_.heartbeat_interval_s * kDirectRatio,
+      scope_.wrap([this, name, commands](transport::Outcome outcome, transport::Response response) {
+        commands_answered(name, commands, outcome, response);
+      }));
 }
 
 void Leader::settle_launches(Machine& machine, const Commands& commands, transport::Outcome outcome,
@@ -677,8 +677,8 @@
 void Leader::inspect(Machine& machine) {
   machine.inspected_at = clock_.now();
   client_.call(machine.address, {"GET", protocol::kInspectPath, ""}, settings_.heartbeat_interval_s,
-               if_still_leading([this, name = machine.name](transport::Outcome outcome,
-                                                            transport::Response response) {
+               scope_.wrap([this, name = machine.name](transport::Outcome outcome,
+                                                       transport::Response response) {
                  if (outcome != transport::Outcome::answered || response.status != 200) return;
                  if (Machine* there = cluster_.find_machine(name)) reached_again(*there);
                  try {
