--- /dev/null
+++ b/src/coordination/election/unreachable_leader_watch.cpp
@@ -0,0 +1,19 @@
+#include "coordination/election/unreachable_leader_watch.hpp"
+
+namespace larkroad::coordination {
+namespace {
+
+// How long a leader goes without heartbeats before it steps down, as a part of the workers' lease:
+// the rest is left for the next leader to renew their leases.
+constexpr double kPatienceRatio = 1.0 / 3;
+
+}  // namespace
+
+bool UnreachableLeaderWatch::should_step_down(std::optional<Seconds> unreachable_since,
+                                              bool peers_receive_heartbeats, Seconds now) const {
+  if (!unreachable_since) return false;
+  if (now - *unreachable_since < settings_.lease_s * kPatienceRatio) return false;
+  return peers_receive_heartbeats;
+}
+
+}  // namespace larkroad::coordination
