--- /dev/null
+++ b/src/coordination/api/request_forwarder.cpp
@@ -0,0 +1,84 @@
+#include "coordination/api/request_forwarder.hpp"
+
+#include <exception>
+#include <memory>
+#include <optional>
+#include <utility>
+
+#include "log.hpp"
+#include "protocol/job_messages.hpp"
+#include "protocol/peer_messages.hpp"
+
+namespace larkroad::coordination {
+namespace {
+
+using transport::Outcome;
+using transport::Request;
+using transport::Respond;
+using transport::Response;
+
+// Users wait 2 s for the answer to a query, of which this controller has used up to 1.5 s.
+constexpr Seconds kForwardTimeout = 0.5;
+// Quoting a body for the message to the peer makes it longer; above this size the message might
+// exceed what the peer's server takes.
+constexpr std::size_t kMaxForwardedBody = transport::kBodyLimit / 4;
+
+bool may_be_forwarded(const Request& request, const Response& response) {
+  return response.status == 503 && request.target != protocol::kHealthPath;
+}
+
+std::optional<Response> response_of_peer(const PeerSettings& peer, Outcome outcome,
+                                         const Response& reply) {
+  if (outcome != Outcome::answered || reply.status != 200) return std::nullopt;
+  try {
+    auto response = protocol::parse_forwarded_response(reply.body);
+    return Response{response.status, std::move(response.body), response.retry_after_s};
+  } catch (const std::exception& error) {
+    spdlog::error("invalid answer to a forwarded request: member={} error={}", peer.member,
+                  error.what());
+    return std::nullopt;
+  }
+}
+
+}  // namespace
+
+void RequestForwarder::handle(Request request, Respond respond) {
+  // Users may repeat each of their requests, so it does no harm when a request takes effect both
+  // here, although the store's answer was lost, and at the peer.
+  auto original = std::make_shared<const Request>(request);
+  user_api_.handle(
+      std::move(request), [this, original, respond = std::move(respond)](Response response) {
+        const PeerSettings* peer =
+            may_be_forwarded(*original, response) ? peers_.next_with_store(clock_.now()) : nullptr;
+        if (peer == nullptr || original->body.size() > kMaxForwardedBody) {
+          respond(std::move(response));
+        } else {
+          forward(*peer, *original, std::move(response), respond);
+        }
+      });
+}
+
+void RequestForwarder::forward(const PeerSettings& peer, const Request& request,
+                               Response own_response, Respond respond) {
+  const std::string message =
+      protocol::encode_forwarded_request({request.method, request.target, request.body});
+  client_.call(peer.addr.text(), {"POST", protocol::kForwardedRequestPath, message},
+               kForwardTimeout,
+               [&peer, own_response = std::move(own_response), respond = std::move(respond)](
+                   Outcome outcome, const Response& reply) {
+                 respond(response_of_peer(peer, outcome, reply).value_or(own_response));
+               });
+}
+
+void RequestForwarder::handle_forwarded(const std::string& body, Respond respond) {
+  auto request = protocol::parse_forwarded_request(body);
+  user_api_.handle({std::move(request.method), std::move(request.target), std::move(request.body)},
+                   [respond = std::move(respond)](const Response& response) {
+                     respond({200,
+                              protocol::encode_forwarded_response(
+                                  {response.status, response.body, response.retry_after_s}),
+                              0});
+                   });
+}
+
+}  // namespace larkroad::coordination
--- a/src/coordination/controller/controller.cpp
+++ b/src/coordination/controller/controller.cpp
@@ -1,391 +1,184 @@
 #include "coordination/controller/controller.hpp"
 
 #include <algorithm>
+#include <array>
+#include <exception>
+#include <optional>
+#include <string_view>
+#include <utility>
 
 #include "log.hpp"
+#include "protocol/job_messages.hpp"
+#include "protocol/peer_messages.hpp"
+#include "protocol/relay_messages.hpp"
 #include "protocol/worker_messages.hpp"
 
 namespace larkroad::coordination {
 namespace {
 
-// How often a node tells its peers what it sees, as a part of the workers' report interval.
-constexpr double kTellRatio = 1.0 / 3;
-// A node cut off from the state service for this part of the workers' lease sends users to the
-// others, if one of them is served. Shorter troubles pass with a few answers of 503.
+// A controller that the key-value store has not answered for this part of the workers' lease sends
+// users to its peers, if the store answers one of them. Shorter failures pass with a few answers of
+// 503.
 constexpr double kUnhealthyRatio = 1.0 / 8;
-// The leader's part of the state service's limits; the other nodes share the rest. Placements and
+// The leader's share of the store's rate limits; its peers divide the rest. Placements and
 // completions are many more writes than submissions and cancellations.
-constexpr double kLeaderShare = 0.5;
+constexpr double kLeaderRequestShare = 0.5;
 constexpr double kLeaderWriteShare = 0.65;
-// What a peer said of itself counts for this many report intervals.
-constexpr double kServesRatio = 1;
-// Users wait 2 s for the answer to a query, of which this node has used up to 1.5 s.
-constexpr Seconds kForwardWithin = 0.5;
-// A leader that is still loading keeps a report for this part of the report interval at most.
-constexpr double kLoadingRatio = 1.0 / 5;
-// A leader that no worker has reached for this part of their lease makes way for one that they
-// reach, and leaves it to the others for a lease.
-constexpr double kUnheardRatio = 1.0 / 3;
-constexpr const char* kPeerPath = "/peer";
-constexpr const char* kUserPath = "/user";
+
+constexpr std::array<std::string_view, 4> kPeerPaths{
+    protocol::kPeerStatusPath,
+    protocol::kForwardedRequestPath,
+    protocol::kRelayPath,
+    protocol::kCancellationPath,
+};
+
+bool is_peer_path(const std::string& target) {
+  return std::find(kPeerPaths.begin(), kPeerPaths.end(), target) != kPeerPaths.end();
+}
 
 }  // namespace
 
 Controller::Controller(transport::Clock& clock, transport::Client& client, const Settings& settings)
     : clock_(clock),
-      client_(client),
       settings_(settings),
       store_(clock, client, settings),
       catalog_(clock, client, store_, settings),
       versions_(clock, store_, settings),
-      election_(clock, store_, settings, {[this] { take_lead(); }, [this] { leave_lead(); }}),
+      peers_(settings),
+      announcements_(settings),
+      election_(clock, store_, settings, {[this] { on_elected(); }, [this] { on_deposed(); }}),
+      unreachable_leader_watch_(settings),
       user_api_(clock, store_, catalog_, settings),
+      request_forwarder_(clock, client, user_api_, peers_),
       leader_(clock, client, store_, election_, catalog_, settings),
-      store_client_(clock, store_, settings),
-      store_server_(
+      store_relay_client_(clock, store_, settings),
+      store_relay_server_(
           clock, store_, settings, [this] { return election_.fencing_token(); },
           [this](const protocol::RelayBatch& batch, const transport::Respond& respond) {
-            relayed_by_store(batch, respond);
+            heartbeat_router_.handle_stored_batch(batch, respond);
           }),
-      relay_(clock, client, store_client_, settings),
+      relay_(clock, client, store_relay_client_, settings),
+      heartbeat_router_(clock, settings,
+                        {store_, election_, leader_, relay_, versions_, peers_, announcements_}),
+      gossip_(clock, client, settings,
+              {store_, election_, leader_, relay_, user_api_, heartbeat_router_, versions_, peers_,
+               announcements_}),
       cancellations_(clock, client, settings) {
-  user_api_.on_cancelled = [this](const std::string& id) {
-    leader_.cancelled_by_peer(id);
-    cancellations_.tell(id);
+  connect_components();
+}
+
+void Controller::connect_components() {
+  user_api_.on_cancelled = [this](const std::string& job) {
+    leader_.cancelled_by_peer(job);
+    cancellations_.notify_peers(job);
   };
   user_api_.services_known = [this] { return versions_.all_understand(kServicesVersion); };
-  user_api_.healthy = [this] { return healthy(); };
+  user_api_.healthy = [this] { return is_healthy(); };
   catalog_.on_change = [this] { leader_.types_changed(); };
-}
-
-void Controller::apply_rate_limit_share(bool leads) {
-  if (settings_.peers.empty()) {
-    store_.set_share(1, 1);
-  } else if (leads) {
-    store_.set_share(kLeaderShare, kLeaderWriteShare);
-  } else {
-    const double others = static_cast<double>(settings_.controller_count()) - 1;
-    store_.set_share((1 - kLeaderShare) / others, (1 - kLeaderWriteShare) / others);
-  }
-}
-
-void Controller::take_lead() {
-  apply_rate_limit_share(true);
-  leader_.begin(spread_);
-  store_server_.begin();
-}
-
-void Controller::leave_lead() {
-  apply_rate_limit_share(false);
-  leader_.end();
-  store_server_.end();
+  heartbeat_router_.on_distribution_changed = [this] { gossip_.send_status(); };
 }
 
 void Controller::start() {
   election_.start();
   catalog_.start();
   versions_.start();
-  tell_peers();
+  run_periodic_tasks();
 }
 
-bool Controller::healthy() {
-  if (!store_.answered_ever() || !catalog_.known()) return false;
-  if (store_.failing_for() < settings_.lease_s * kUnhealthyRatio) return true;
-  // No node can be served better elsewhere when the service is down for all.
-  const Seconds now = clock_.now();
-  return std::none_of(peer_serves_.begin(), peer_serves_.end(), [&](const auto& peer) {
-    return now - peer.second < settings_.heartbeat_interval_s;
-  });
+void Controller::on_elected() {
+  apply_rate_limit_share(Role::leader);
+  leader_.begin(announcements_.workers_distributed());
+  store_relay_server_.begin();
 }
 
-void Controller::handle_client(transport::Request request, transport::Respond respond) {
-  if (request.target == protocol::kHeartbeatPath) {
-    if (request.method != "POST") {
-      respond({405, protocol::encode_error("no such method here"), 0});
-      return;
-    }
-    handle_heartbeat(std::move(request.body), std::move(respond));
-    return;
-  }
-  // What this node cannot ask the state service another one perhaps can. All of the users' calls
-  // may be repeated, so it does no harm if this node's own try is carried out after all.
-  auto kept = std::make_shared<transport::Request>(request);
-  user_api_.handle(
-      std::move(request), [this, kept, respond = std::move(respond)](transport::Response response) {
-        const PeerSettings* peer = response.status == 503 && kept->target != protocol::kHealthPath
-                                       ? serving_peer()
-                                       : nullptr;
-        if (peer == nullptr || kept->body.size() > transport::kBodyLimit / 4) {
-          respond(std::move(response));
-        } else {
-          forward(*peer, *kept, std::move(response), respond);
-        }
-      });
-}
-
-const PeerSettings* Controller::serving_peer() {
-  const Seconds now = clock_.now();
-  for (size_t i = 0; i < settings_.peers.size(); ++i) {
-    const PeerSettings& peer = settings_.peers[next_peer_++ % settings_.peers.size()];
-    const auto it = peer_serves_.find(peer.member);
-    if (it != peer_serves_.end() &&
-        now - it->second < settings_.heartbeat_interval_s * kServesRatio) {
-      return &peer;
-    }
-  }
-  return nullptr;
-}
-
-void Controller::forward(const PeerSettings& peer, const transport::Request& request,
-                         transport::Response own, transport::Respond respond) {
-  const protocol::Json message{
-      {"method", request.method}, {"target", request.target}, {"body", request.body}};
-  client_.call(peer.addr.text(), {"POST", kUserPath, message.dump()}, kForwardWithin,
-               [own = std::move(own), respond = std::move(respond)](
-                   transport::Outcome outcome, const transport::Response& response) {
-                 if (outcome == transport::Outcome::answered && response.status == 200) {
-                   try {
-                     const auto json = protocol::parse_object(response.body);
-                     respond({static_cast<int>(protocol::integer(json, "status")),
-                              protocol::text(json, "body"),
-                              static_cast<int>(protocol::integer(json, "retry_after"))});
-                     return;
-                   } catch (const std::exception& error) {
-                     spdlog::error("peer: {}", error.what());
-                   }
-                 }
-                 respond(own);
-               });
-}
-
-void Controller::forwarded(const std::string& body, transport::Respond respond) {
-  const auto message = protocol::parse_object(body);
-  // Answered here or not at all: it is not sent on once more.
-  user_api_.handle({protocol::text(message, "method"), protocol::text(message, "target"),
-                    protocol::text(message, "body")},
-                   [respond = std::move(respond)](const transport::Response& response) {
-                     const protocol::Json answer{{"status", response.status},
-                                                 {"body", response.body},
-                                                 {"retry_after", response.retry_after_s}};
-                     respond({200, answer.dump(), 0});
-                   });
-}
-
-void Controller::handle_heartbeat(std::string body, transport::Respond respond) {
-  protocol::Heartbeat heartbeat;
-  try {
-    heartbeat = protocol::parse_heartbeat(body);
-  } catch (const std::exception& error) {
-    spdlog::error("report: {}", error.what());
-    respond({400, protocol::encode_error(error.what()), 0});
-    return;
-  }
-  workers_came_at_ = clock_.now();
-  serve_report(std::move(body), std::move(heartbeat), std::move(respond),
-               clock_.now() + settings_.heartbeat_interval_s * kLoadingRatio);
-}
-
-bool Controller::must_wait_for_loading(Seconds until) const {
-  return leader_.loading() && clock_.now() < until;
-}
-
-void Controller::after_loading_pause(std::function<void()> again) {
-  clock_.after(settings_.heartbeat_interval_s * kLoadingRatio / 20, std::move(again));
-}
-
-void Controller::serve_report(std::string body, protocol::Heartbeat heartbeat,
-                              transport::Respond respond, Seconds until) {
-  election_.superseded(heartbeat.fencing_token);
-  if (must_wait_for_loading(until)) {
-    after_loading_pause([=, this] { serve_report(body, heartbeat, respond, until); });
-    return;
-  }
-  if (election_.may_answer_reports()) {
-    respond(leader_.handle_heartbeat(heartbeat));
-    // Peers must know at once that workers stay with them from now on, or they would send on to
-    // this node those that it sends to them. Past its lease it has nothing to tell, and would
-    // otherwise tell it again with each report.
-    if (election_.leads() && leader_.relay_assignment().spread() != told_spread_) tell_peers_now();
-    return;
-  }
-  aim_relay();
-  if ((spread_ && relay_.works()) || relay_.uses_store()) {
-    relay_.take(std::move(body), std::move(heartbeat), std::move(respond));
-    return;
-  }
-  const std::string& leader = relay_.aimed_at();
-  respond({421, protocol::encode_redirect(leader == settings_.member ? "" : leader), 0, true});
+void Controller::on_deposed() {
+  apply_rate_limit_share(Role::follower);
+  leader_.end();
+  store_relay_server_.end();
 }
 
-void Controller::aim_relay() {
-  const bool told = told_at_ >= 0 && clock_.now() - told_at_ < settings_.heartbeat_interval_s &&
-                    told_fencing_token_ > election_.leader_revision();
-  if (told) {
-    relay_.aim(told_leader_, told_fencing_token_);
+void Controller::apply_rate_limit_share(Role role) {
+  if (settings_.peers.empty()) {
+    store_.set_share(1, 1);
+  } else if (role == Role::leader) {
+    store_.set_share(kLeaderRequestShare, kLeaderWriteShare);
   } else {
-    relay_.aim(election_.leader(), election_.leader_revision());
+    const double followers = static_cast<double>(settings_.controller_count()) - 1;
+    store_.set_share((1 - kLeaderRequestShare) / followers, (1 - kLeaderWriteShare) / followers);
   }
-  // A leader of the first version would not look there.
-  relay_.allow_store(store_.failing_for() == 0 && versions_.all_understand(kServicesVersion));
 }
 
-bool Controller::is_peer(const std::string& member) const {
-  return std::any_of(settings_.peers.begin(), settings_.peers.end(),
-                     [&](const PeerSettings& known) { return known.member == member; });
-}
-
-void Controller::cancelled_elsewhere(const std::string& body, const transport::Respond& respond) {
-  const auto message = protocol::parse_object(body);
-  const std::string member = protocol::text(message, "member");
-  const std::string id = protocol::text(message, "job");
-  if (!is_peer(member)) throw protocol::Malformed("a cancellation from no peer: " + member);
-  if (election_.holds() && !leader_.cancelled_by_peer(id)) {
-    respond({400, protocol::encode_error("no such job here"), 0});
-    return;
-  }
-  respond({200, "{}", 0});
-}
-
-void Controller::handle_relayed_heartbeats(const protocol::RelayBatch& batch,
-                                           Leader::RelayRoute route,
-                                           const transport::Respond& respond, Seconds until) {
-  if (must_wait_for_loading(until)) {
-    after_loading_pause([=, this] { handle_relayed_heartbeats(batch, route, respond, until); });
-    return;
-  }
-  if (!election_.may_answer_reports()) {
-    respond({421, protocol::encode_redirect(election_.leader()), 0});
-  } else if (!leader_.is_own_fencing_token(batch.fencing_token)) {
-    respond({409, protocol::encode_fencing_token(election_.fencing_token()), 0});
-  } else {
-    respond(
-        {200, protocol::encode_batch_answers(leader_.handle_relayed_heartbeats(batch, route)), 0});
-  }
+bool Controller::is_healthy() const {
+  if (!store_.answered_ever() || !catalog_.known()) return false;
+  if (store_.failing_for() < settings_.lease_s * kUnhealthyRatio) return true;
+  // In an outage of the store no peer could serve users better.
+  return !peers_.any_has_store(clock_.now());
 }
 
-void Controller::relayed_by_store(const protocol::RelayBatch& batch,
-                                  const transport::Respond& respond) {
-  if (batch.member == settings_.member) return;  // of when another one led
-  if (!is_peer(batch.member)) throw protocol::Malformed("no peer: " + batch.member);
-  handle_relayed_heartbeats(batch, Leader::RelayRoute::state_service, respond,
-                            clock_.now() + settings_.heartbeat_interval_s * kLoadingRatio);
+void Controller::run_periodic_tasks() {
+  clock_.after(gossip_.interval(), [this] { run_periodic_tasks(); });
+  step_down_if_unreachable();
+  gossip_.send_status();
 }
 
 void Controller::step_down_if_unreachable() {
   if (!election_.leads()) return;
   const Seconds now = clock_.now();
   const Seconds since = leader_.unreachable_by_workers_since();
-  if (since < 0 || now - since < settings_.lease_s * kUnheardRatio) return;
-  const bool others = std::any_of(peer_hears_.begin(), peer_hears_.end(), [&](const auto& peer) {
-    return now - peer.second < settings_.heartbeat_interval_s;
-  });
-  if (others) {
-    election_.step_down("no worker reaches it, and they reach its peers", settings_.lease_s);
+  const auto unreachable_since = since < 0 ? std::nullopt : std::optional(since);
+  if (unreachable_leader_watch_.should_step_down(unreachable_since,
+                                                 peers_.any_receives_heartbeats(now), now)) {
+    election_.step_down("workers reach its peers but not this controller",
+                        unreachable_leader_watch_.abstention());
   }
 }
 
-void Controller::tell_peers() {
-  clock_.after(settings_.heartbeat_interval_s * kTellRatio, [this] { tell_peers(); });
-  step_down_if_unreachable();
-  tell_peers_now();
-}
-
-void Controller::tell_peers_now() {
-  aim_relay();
-  protocol::Json message{{"member", settings_.member},
-                         {"served", store_.answered_ever() && store_.failing_for() == 0},
-                         {"token", election_.fencing_token()},
-                         {"version", kOwnVersion}};
-  if (workers_came_at_ >= 0 && clock_.now() - workers_came_at_ < settings_.heartbeat_interval_s) {
-    message["workers"] = true;
-  }
-  // Whom this node relays to, if it reaches them.
-  if (relay_.works()) message["relays_to"] = relay_.aimed_at();
-  if (election_.leads()) {
-    spread_ = told_spread_ = leader_.relay_assignment().spread();
-    message["spread"] = spread_;
-    auto progress = leader_.progress();
-    protocol::Json jobs = protocol::Json::object();
-    for (const auto& [id, p] : progress) {
-      jobs[id] = {p.done, p.running};
-      // Display only: a very long list is cut rather than refused by the peer.
-      if (jobs.size() >= transport::kBodyLimit / 64) break;
-    }
-    message["jobs"] = std::move(jobs);
-    user_api_.set_progress(std::move(progress));
-  }
-  const std::string body = message.dump();
-  for (const auto& peer : settings_.peers) {
-    client_.call(
-        peer.addr.text(), {"POST", kPeerPath, body}, settings_.heartbeat_interval_s * kTellRatio,
-        [this, member = peer.member](transport::Outcome outcome, const transport::Response&) {
-          relay_.reached(member, outcome == transport::Outcome::answered);
-        });
+void Controller::handle_client(transport::Request request, transport::Respond respond) {
+  if (request.target == protocol::kHeartbeatPath) {
+    heartbeat_router_.handle_request(std::move(request), std::move(respond));
+  } else {
+    request_forwarder_.handle(std::move(request), std::move(respond));
   }
 }
 
 void Controller::handle_peer(transport::Request request, transport::Respond respond) {
-  if ((request.target != kPeerPath && request.target != kUserPath &&
-       request.target != protocol::kRelayPath && request.target != CancellationNotifier::kPath) ||
-      request.method != "POST") {
+  if (!is_peer_path(request.target) || request.method != "POST") {
     respond({404, "{}", 0});
     return;
   }
   try {
-    if (request.target == kUserPath) {
-      forwarded(request.body, respond);
-      return;
-    }
-    if (request.target == protocol::kRelayPath) {
-      const auto batch = protocol::parse_batch(request.body);
-      if (!is_peer(batch.member)) {
-        throw protocol::Malformed("a batch from " + batch.member + ", which is no peer");
-      }
-      handle_relayed_heartbeats(batch, Leader::RelayRoute::direct, respond,
-                                clock_.now() + settings_.heartbeat_interval_s * kLoadingRatio);
-      return;
-    }
-    if (request.target == CancellationNotifier::kPath) {
-      cancelled_elsewhere(request.body, respond);
-      return;
-    }
-    peer_told(request.body);
-    respond({200, "{}", 0});
+    dispatch_peer_request(request, respond);
   } catch (const std::exception& error) {
-    spdlog::error("peer: {}", error.what());
+    spdlog::error("peer request refused: path={} error={}", request.target, error.what());
     respond({400, protocol::encode_error(error.what()), 0});
   }
 }
 
-void Controller::peer_told(const std::string& body) {
-  const auto message = protocol::parse_object(body);
-  const std::string member = protocol::text(message, "member");
-  const std::uint64_t fencing_token = protocol::integer(message, "token");
-  const bool names_version = protocol::find(message, "version") != nullptr;
-  versions_.peer_reported(member,
-                          names_version ? protocol::integer(message, "version") : kFirstVersion);
-  if (protocol::boolean(message, "served")) {
-    peer_serves_[member] = clock_.now();
-    if (protocol::find(message, "workers") != nullptr) peer_hears_[member] = clock_.now();
-  }
-  election_.superseded(fencing_token);
-  if (const auto* to = protocol::find(message, "relays_to"); to != nullptr && election_.holds()) {
-    if (*to == settings_.member) leader_.relay_assignment().relays(member, clock_.now());
+void Controller::dispatch_peer_request(const transport::Request& request,
+                                       const transport::Respond& respond) {
+  if (request.target == protocol::kForwardedRequestPath) {
+    request_forwarder_.handle_forwarded(request.body, respond);
+  } else if (request.target == protocol::kRelayPath) {
+    heartbeat_router_.handle_relayed_batch(protocol::parse_batch(request.body), respond);
+  } else if (request.target == protocol::kCancellationPath) {
+    handle_cancellation(request.body, respond);
+  } else {
+    gossip_.handle_status(request.body);
+    respond({200, "{}", 0});
   }
-  if (protocol::find(message, "spread") != nullptr && !election_.leads() &&
-      fencing_token >= told_fencing_token_) {
-    spread_ = protocol::boolean(message, "spread");
-    told_leader_ = member;
-    told_fencing_token_ = fencing_token;
-    told_at_ = clock_.now();
+}
+
+void Controller::handle_cancellation(const std::string& body, const transport::Respond& respond) {
+  const auto notice = protocol::parse_cancellation_notice(body);
+  if (!peers_.is_peer(notice.member)) {
+    throw protocol::Malformed("a cancellation from no peer: " + notice.member);
   }
-  const auto* jobs = protocol::find(message, "jobs");
-  if (jobs == nullptr || !jobs->is_object()) return;
-  std::unordered_map<std::string, UserApi::Progress> progress;
-  for (const auto& [id, p] : jobs->items()) {
-    progress[id] = {p.at(0).get<std::uint32_t>(), p.at(1).get<std::uint32_t>()};
+  // A leader past its lease stops the tasks as well: it writes nothing on the strength of a notice.
+  if (election_.holds() && !leader_.cancelled_by_peer(notice.job)) {
+    respond({400, protocol::encode_error("no such job here"), 0});
+    return;
   }
-  if (!election_.leads()) user_api_.set_progress(std::move(progress));
+  respond({200, "{}", 0});
 }
 
 }  // namespace larkroad::coordination
--- a/src/coordination/controller/controller.hpp
+++ b/src/coordination/controller/controller.hpp
@@ -1,94 +1,87 @@
-// One controller: everything it runs, wired together, and what it tells the others.
+/// One controller process: its components, wired together, and the dispatch of requests to them.
+///
+/// Created by `main` (and by the tests' simulation), which passes on what arrives at the two
+/// listening sockets. Everything runs on the one thread of the event loop.
 #pragma once
 
+#include <string>
+
+#include "coordination/api/request_forwarder.hpp"
 #include "coordination/api/user_api.hpp"
+#include "coordination/controller/heartbeat_router.hpp"
+#include "coordination/controller/peer_gossip.hpp"
 #include "coordination/election/election.hpp"
+#include "coordination/election/unreachable_leader_watch.hpp"
 #include "coordination/leader/leader.hpp"
 #include "coordination/membership/cancellation_notifier.hpp"
+#include "coordination/membership/leader_announcements.hpp"
 #include "coordination/membership/member_versions.hpp"
+#include "coordination/membership/peer_registry.hpp"
 #include "coordination/relay/relay.hpp"
 #include "coordination/relay/store_relay.hpp"
 #include "coordination/scaling/machine_catalog.hpp"
 #include "settings.hpp"
 #include "storage/key_value_client.hpp"
+#include "transport/clock.hpp"
 #include "transport/http.hpp"
 
 namespace larkroad::coordination {
 
 class Controller {
  public:
+  /// `clock`, `client` and `settings` outlive the controller.
   Controller(transport::Clock& clock, transport::Client& client, const Settings& settings);
+
+  /// Begins to take part: in the election, and in the exchange of status with the peers.
   void start();
 
-  // Users, workers and the load balancer.
+  /// A request of a user, a worker or the load balancer.
   void handle_client(transport::Request request, transport::Respond respond);
-  // The other controllers.
+  /// A request of another controller.
   void handle_peer(transport::Request request, transport::Respond respond);
 
   const Election& election() const { return election_; }
   const MemberVersions& versions() const { return versions_; }
-  // Whether workers report to all nodes, as far as this one knows; see RelayAssignment.
-  bool spreads_workers() const { return spread_; }
+  /// Whether workers are distributed over all controllers, as far as this one knows.
+  bool spreads_workers() const { return announcements_.workers_distributed(); }
 
  private:
-  // Takes this node's part of the state service's limits.
-  void apply_rate_limit_share(bool leads);
-  void handle_heartbeat(std::string body, transport::Respond respond);
-  void serve_report(std::string body, protocol::Heartbeat heartbeat, transport::Respond respond,
-                    Seconds until);
-  void take_lead();
-  void leave_lead();
-  // A batch that came by way of the state service.
-  void relayed_by_store(const protocol::RelayBatch& batch, const transport::Respond& respond);
-  void handle_relayed_heartbeats(const protocol::RelayBatch& batch, Leader::RelayRoute route,
-                                 const transport::Respond& respond, Seconds until);
-  // A leader that still reads the records has its workers wait for that a little.
-  bool must_wait_for_loading(Seconds until) const;
-  void after_loading_pause(std::function<void()> again);
-  void cancelled_elsewhere(const std::string& body, const transport::Respond& respond);
-  // What a peer says of itself now and then.
-  void peer_told(const std::string& body);
-  bool is_peer(const std::string& member) const;
-  // A leader that no worker reaches any more, while they reach its peers, makes way.
+  enum class Role { leader, follower };
+
+  void on_elected();
+  void on_deposed();
+  void connect_components();
+  /// Takes this controller's share of the key-value store's rate limits.
+  void apply_rate_limit_share(Role role);
+  /// Whether users are served here at least as well as by a peer: the answer to the load balancer.
+  bool is_healthy() const;
+
+  /// Exchanges status with the peers, and checks whether a peer would be the better leader.
+  void run_periodic_tasks();
   void step_down_if_unreachable();
-  void tell_peers();
-  void tell_peers_now();
-  // Points the relay at whoever leads, by the state service or by what a peer said of itself.
-  void aim_relay();
-  bool healthy();
-  // A peer that the state service answers at present; nullptr when none is known.
-  const PeerSettings* serving_peer();
-  // Has a peer answer a user's call that this node cannot; with its own answer if that fails.
-  void forward(const PeerSettings& peer, const transport::Request& request, transport::Response own,
-               transport::Respond respond);
-  void forwarded(const std::string& body, transport::Respond respond);
+
+  /// Throws when the request is malformed or its sender is no peer.
+  void dispatch_peer_request(const transport::Request& request, const transport::Respond& respond);
+  void handle_cancellation(const std::string& body, const transport::Respond& respond);
 
   transport::Clock& clock_;
-  transport::Client& client_;
   const Settings& settings_;
   storage::KeyValueClient store_;
   MachineCatalog catalog_;
   MemberVersions versions_;
+  PeerRegistry peers_;
+  LeaderAnnouncements announcements_;
   Election election_;
+  UnreachableLeaderWatch unreachable_leader_watch_;
   UserApi user_api_;
+  RequestForwarder request_forwarder_;
   Leader leader_;
-  StoreRelayClient store_client_;
-  StoreRelayServer store_server_;
+  StoreRelayClient store_relay_client_;
+  StoreRelayServer store_relay_server_;
   Relay relay_;
+  HeartbeatRouter heartbeat_router_;
+  PeerGossip gossip_;
   CancellationNotifier cancellations_;
-  // The newest leader that a peer has said to be, and when.
-  std::string told_leader_;
-  std::uint64_t told_fencing_token_ = 0;
-  Seconds told_at_ = -1;
-  bool spread_ = false;       // as the leader last said, see RelayAssignment
-  bool told_spread_ = false;  // what this node last said of it, when leading
-  // When each peer last said that the state service answers it.
-  std::map<std::string, Seconds> peer_serves_;
-  // When workers last came to each peer that the state service answers, as it said, and to this
-  // node.
-  std::map<std::string, Seconds> peer_hears_;
-  Seconds workers_came_at_ = -1;
-  size_t next_peer_ = 0;
 };
 
 }  // namespace larkroad::coordination
--- /dev/null
+++ b/src/coordination/controller/peer_gossip.cpp
@@ -0,0 +1,101 @@
+#include "coordination/controller/peer_gossip.hpp"
+
+#include <cstddef>
+#include <unordered_map>
+#include <utility>
+#include <vector>
+
+namespace larkroad::coordination {
+namespace {
+
+// How often a status is sent, as a part of the heartbeat interval.
+constexpr double kIntervalRatio = 1.0 / 3;
+// Progress is for display only: a longer list is cut, as the peer would refuse the whole message.
+constexpr std::size_t kMaxReportedJobs = transport::kBodyLimit / 64;
+
+using ProgressByJob = std::unordered_map<std::string, UserApi::Progress>;
+
+std::vector<protocol::JobProgress> to_message(const ProgressByJob& progress) {
+  std::vector<protocol::JobProgress> jobs;
+  for (const auto& [job, counts] : progress) {
+    jobs.push_back({job, counts.done, counts.running});
+    if (jobs.size() >= kMaxReportedJobs) break;
+  }
+  return jobs;
+}
+
+ProgressByJob from_message(const std::vector<protocol::JobProgress>& jobs) {
+  ProgressByJob progress;
+  for (const auto& job : jobs) progress[job.job] = {job.done, job.running};
+  return progress;
+}
+
+}  // namespace
+
+PeerGossip::PeerGossip(transport::Clock& clock, transport::Client& client, const Settings& settings,
+                       Components components)
+    : clock_(clock), client_(client), settings_(settings), components_(components) {}
+
+Seconds PeerGossip::interval() const { return settings_.heartbeat_interval_s * kIntervalRatio; }
+
+void PeerGossip::send_status() {
+  const std::string body = protocol::encode_peer_status(own_status());
+  for (const auto& peer : settings_.peers) {
+    client_.call(
+        peer.addr.text(), {"POST", protocol::kPeerStatusPath, body}, interval(),
+        [this, member = peer.member](transport::Outcome outcome, const transport::Response&) {
+          const bool answered = outcome == transport::Outcome::answered;
+          components_.relay.reached(member, answered);
+        });
+  }
+}
+
+protocol::PeerStatus PeerGossip::own_status() {
+  components_.heartbeat_router.update_relay_target();
+  const storage::KeyValueClient& store = components_.store;
+  protocol::PeerStatus status;
+  status.member = settings_.member;
+  status.store_available = store.answered_ever() && store.failing_for() == 0;
+  status.fencing_token = components_.election.fencing_token();
+  status.version = kOwnVersion;
+  status.receives_heartbeats = components_.heartbeat_router.receives_heartbeats();
+  if (components_.relay.works()) status.relays_to = components_.relay.aimed_at();
+  if (components_.election.leads()) add_leader_status(status);
+  return status;
+}
+
+void PeerGossip::add_leader_status(protocol::PeerStatus& status) {
+  const bool distributes_workers = components_.leader.relay_assignment().spread();
+  status.distributes_workers = distributes_workers;
+  components_.announcements.sent(distributes_workers);
+  auto progress = components_.leader.progress();
+  status.jobs = to_message(progress);
+  components_.user_api.set_progress(std::move(progress));
+}
+
+void PeerGossip::handle_status(const std::string& body) {
+  const protocol::PeerStatus status = protocol::parse_peer_status(body);
+  const Seconds now = clock_.now();
+  // The first version does not say which one it is.
+  components_.versions.peer_reported(status.member, status.version.value_or(kFirstVersion));
+  components_.peers.observe(status, now);
+  components_.election.superseded(status.fencing_token);
+  if (components_.election.holds() && status.relays_to == settings_.member) {
+    components_.leader.relay_assignment().relays(status.member, now);
+  }
+  observe_leader_announcement(status);
+  observe_job_progress(status);
+}
+
+void PeerGossip::observe_leader_announcement(const protocol::PeerStatus& status) {
+  if (!status.distributes_workers || components_.election.leads()) return;
+  components_.announcements.received(status.member, status.fencing_token,
+                                     *status.distributes_workers, clock_.now());
+}
+
+void PeerGossip::observe_job_progress(const protocol::PeerStatus& status) {
+  if (!status.jobs || components_.election.leads()) return;
+  components_.user_api.set_progress(from_message(*status.jobs));
+}
+
+}  // namespace larkroad::coordination
--- a/src/coordination/membership/cancellation_notifier.cpp
+++ b/src/coordination/membership/cancellation_notifier.cpp
@@ -1,45 +1,50 @@
 #include "coordination/membership/cancellation_notifier.hpp"
 
-#include "protocol/json.hpp"
+#include "protocol/peer_messages.hpp"
 
 namespace larkroad::coordination {
 namespace {
 
-// How long a peer may take to answer, and the pause before it is told again: as a part of the
-// workers' report interval.
-constexpr double kAnswerRatio = 1.0 / 3;
-constexpr double kAgainRatio = 1.0 / 10;
+// How long a peer may take to answer, and the pause before a notice without an answer is sent
+// again, as parts of the heartbeat interval.
+constexpr double kTimeoutRatio = 1.0 / 3;
+constexpr double kRetryRatio = 1.0 / 10;
 
 }  // namespace
 
-void CancellationNotifier::tell(const std::string& id) {
+void CancellationNotifier::notify_peers(const std::string& job) {
   for (const auto& peer : settings_.peers) {
-    outboxes_[peer.member].notices.push_back({id, clock_.now() + settings_.cancellation_limit_s});
-    send(peer);
+    outboxes_[peer.member].notices.push_back({job, clock_.now() + settings_.cancellation_limit_s});
+    send_next(peer);
   }
 }
 
-void CancellationNotifier::send(const PeerSettings& peer) {
+void CancellationNotifier::send_next(const PeerSettings& peer) {
   Outbox& outbox = outboxes_[peer.member];
-  if (outbox.under_way) return;
-  while (!outbox.notices.empty() && outbox.notices.front().until < clock_.now()) {
+  if (outbox.call_in_flight) return;
+  while (!outbox.notices.empty() && outbox.notices.front().expires_at < clock_.now()) {
     outbox.notices.pop_front();
   }
   if (outbox.notices.empty()) return;
-  outbox.under_way = true;
-  const protocol::Json message{{"member", settings_.member}, {"job", outbox.notices.front().id}};
-  client_.call(peer.addr.text(), {"POST", kPath, message.dump()},
-               settings_.heartbeat_interval_s * kAnswerRatio,
-               [this, &peer, &outbox](transport::Outcome outcome, const transport::Response&) {
-                 // Any answer will do: one that does not know the job has nothing to stop.
-                 const bool answered = outcome == transport::Outcome::answered;
-                 if (answered) outbox.notices.pop_front();
-                 clock_.after(answered ? 0 : settings_.heartbeat_interval_s * kAgainRatio,
-                              [this, &peer, &outbox] {
-                                outbox.under_way = false;
-                                send(peer);
-                              });
+  outbox.call_in_flight = true;
+  const std::string message =
+      protocol::encode_cancellation_notice({settings_.member, outbox.notices.front().job});
+  client_.call(peer.addr.text(), {"POST", protocol::kCancellationPath, message},
+               settings_.heartbeat_interval_s * kTimeoutRatio,
+               [this, &peer](transport::Outcome outcome, const transport::Response&) {
+                 handle_reply(peer, outcome);
                });
 }
 
+void CancellationNotifier::handle_reply(const PeerSettings& peer, transport::Outcome outcome) {
+  // Any answer will do, a refusal too: a peer that does not know the job has nothing to stop.
+  const bool answered = outcome == transport::Outcome::answered;
+  if (answered) outboxes_[peer.member].notices.pop_front();
+  const Seconds pause = answered ? 0 : settings_.heartbeat_interval_s * kRetryRatio;
+  clock_.after(pause, [this, &peer] {
+    outboxes_[peer.member].call_in_flight = false;
+    send_next(peer);
+  });
+}
+
 }  // namespace larkroad::coordination
