--- a/src/coordination/relay/relay.cpp
+++ b/src/coordination/relay/relay.cpp
@@ -1,7 +1,7 @@
 #include "coordination/relay/relay.hpp"
 
 #include <algorithm>
-#include <memory>
+#include <utility>
 
 #include "log.hpp"
 #include "protocol/job_messages.hpp"
@@ -11,216 +11,252 @@
 
 // Workers give up on an answer after 4 s and drop what comes later; half of that is left for the
 // way back.
-constexpr Seconds kAnswerWithin = 2;
-// Reports are gathered for this part of the report interval.
+constexpr Seconds kDirectTimeout = 2;
+// The same by way of the key-value store, where heartbeats are gathered for longer.
+constexpr Seconds kStoreTimeout = 3.5;
+// A heartbeat this close to its deadline could not be answered in time any more.
+constexpr Seconds kMinTimeToAnswer = kDirectTimeout / 8;
+// Heartbeats are gathered for this part of the heartbeat interval.
 constexpr double kGatherRatio = 1.0 / 100;
-// Batches under way at once: while a second one fills, the first is being answered.
-constexpr int kMostUnderWay = 2;
-// A batch stays this far below what the peer's server takes; its text grows with every quote.
-constexpr size_t kBatchBytes = transport::kBodyLimit / 2;
+// While a second batch fills, the first is being answered.
+constexpr int kMaxBatchesInFlight = 2;
+// A batch stays this far below what the peer's server accepts: its text grows with every quote.
+constexpr size_t kMaxBatchBytes = transport::kBodyLimit / 2;
+// Estimates of what a heartbeat takes in a batch: unchanged, and in the compact form with its
+// tasks.
 constexpr size_t kUnchangedBytes = 128;
-// The leader counts as reached for this many report intervals after an answer.
-constexpr double kReachedReports = 1;
-constexpr double kToldLeases = 2;
-// The same on the way by the state service, which gathers for longer.
-constexpr Seconds kStoreAnswerWithin = 3.5;
-// A leader that has ended loses its key after a sixth of the workers' lease. One that cannot be
-// reached for longer is cut off.
-constexpr double kCutOffRatio = 1.0 / 5;
-// What a report takes in short, and each task in it.
-constexpr size_t kShortReportBytes = 128;
-constexpr size_t kShortTaskBytes = 40;
+constexpr size_t kCompactBytes = 128;
+constexpr size_t kCompactTaskBytes = 40;
+// Acknowledgements are kept for this many leases.
+constexpr double kAcknowledgedLeases = 2;
+
+constexpr int kOk = 200;
+constexpr int kStaleToken = 409;
+constexpr int kUnavailable = 503;
+
+void respond_unavailable(const transport::Respond& respond) {
+  respond({kUnavailable, protocol::encode_error("the leader cannot be asked at present"), 0, true});
+}
 
 }  // namespace
 
 Relay::Relay(transport::Clock& clock, transport::Client& client, StoreRelayClient& store_relay,
              const Settings& settings)
-    : clock_(clock), client_(client), store_relay_(store_relay), settings_(settings) {
-  forget_old();
+    : clock_(clock),
+      client_(client),
+      store_relay_(store_relay),
+      settings_(settings),
+      reachability_(clock, settings),
+      scope_(clock) {
+  drop_old_acknowledgements();
 }
 
 void Relay::aim(const std::string& member, std::uint64_t fencing_token) {
   fencing_token_ = fencing_token;
   if (member == leader_) return;
   leader_ = member;
-  endpoint_.clear();
-  reached_at_ = -1;
-  unreached_since_ = clock_.now();
+  leader_endpoint_.reset();
+  reachability_.reset();
   for (const auto& peer : settings_.peers) {
-    if (peer.member == member) endpoint_ = peer.addr.text();
+    if (peer.member == member) leader_endpoint_ = peer.addr.text();
   }
 }
 
 void Relay::reached(const std::string& member, bool answered) {
   if (member != leader_) return;
-  reached_at_ = answered ? clock_.now() : -1;
-  if (answered) unreached_since_ = clock_.now();
-}
-
-bool Relay::cut_off() const {
-  return !endpoint_.empty() && clock_.now() - unreached_since_ > settings_.lease_s * kCutOffRatio;
+  if (answered) {
+    reachability_.record_answer();
+  } else {
+    reachability_.record_failure();
+  }
 }
 
-bool Relay::works() const {
-  return !endpoint_.empty() && reached_at_ >= 0 &&
-         clock_.now() - reached_at_ < settings_.heartbeat_interval_s * kReachedReports;
-}
+bool Relay::works() const { return leader_endpoint_ && reachability_.is_reachable(); }
 
-void Relay::give_up(const Waiting& item) {
-  item.respond({503, protocol::encode_error("the leader cannot be asked at present"), 0, true});
+bool Relay::uses_store() const {
+  return store_route_allowed_ && leader_endpoint_ && !reachability_.is_reachable() &&
+         reachability_.is_partitioned();
 }
 
 void Relay::take(std::string payload, protocol::Heartbeat heartbeat, transport::Respond respond) {
-  const Seconds within = uses_store() ? kStoreAnswerWithin : kAnswerWithin;
-  Waiting item{std::move(payload), std::move(heartbeat), std::move(respond), clock_.now() + within,
-               false};
-  // No more than there can be workers connected: what a relay holds is bounded.
+  // No more than there can be workers connected, so that memory stays bounded.
   if (queue_.size() >= static_cast<size_t>(settings_.sockets)) {
-    give_up(item);
+    respond_unavailable(respond);
     return;
   }
-  queue_.push_back(std::move(item));
-  arm();
-}
-
-void Relay::arm() {
-  if (armed_ || queue_.empty() || !may_send()) return;
-  armed_ = true;
-  const Seconds gather =
-      uses_store() ? store_relay_.gather_time() : settings_.heartbeat_interval_s * kGatherRatio;
-  clock_.after(gather, [this] {
-    armed_ = false;
-    send();
+  const Seconds timeout = route() == Route::store ? kStoreTimeout : kDirectTimeout;
+  queue_.push_back({std::move(payload), std::move(heartbeat), std::move(respond),
+                    clock_.now() + timeout, false});
+  schedule_send();
+}
+
+bool Relay::may_send_batch() const {
+  return route() == Route::store ? store_relay_.has_free_slot()
+                                 : batches_in_flight_ < kMaxBatchesInFlight;
+}
+
+void Relay::schedule_send() {
+  if (send_scheduled_ || queue_.empty() || !may_send_batch()) return;
+  send_scheduled_ = true;
+  const Seconds gather_time = route() == Route::store
+                                  ? store_relay_.gather_time()
+                                  : settings_.heartbeat_interval_s * kGatherRatio;
+  scope_.after(gather_time, [this] {
+    send_scheduled_ = false;
+    send_queue();
   });
 }
 
-void Relay::send() {
+void Relay::send_queue() {
+  while (!queue_.empty() && may_send_batch()) {
+    Batch batch = take_batch();
+    if (!batch.empty()) send_batch(std::move(batch), Attempt::first);
+  }
+}
+
+// Takes from the queue what fits one batch, and answers what could not be answered in time.
+Relay::Batch Relay::take_batch() {
   const Seconds now = clock_.now();
-  while (!queue_.empty() && may_send()) {
-    Items items;
-    size_t bytes = 0;
-    const size_t most = uses_store() ? store_relay_.batch_bytes() : kBatchBytes;
-    while (!queue_.empty()) {
-      const size_t next = bytes_of(queue_.front());
-      if (!items.empty() && bytes + next > most) break;
-      Waiting item = std::move(queue_.front());
-      queue_.pop_front();
-      // One that is nearly due could not be answered in time any more.
-      if (endpoint_.empty() || now > item.until - kAnswerWithin / 8) {
-        give_up(item);
-        continue;
-      }
-      bytes += next;
-      items.push_back(std::move(item));
+  const size_t max_bytes = route() == Route::store ? store_relay_.batch_bytes() : kMaxBatchBytes;
+  Batch batch;
+  size_t batch_bytes = 0;
+  while (!queue_.empty()) {
+    const size_t item_bytes = estimated_bytes(queue_.front());
+    if (!batch.empty() && batch_bytes + item_bytes > max_bytes) break;
+    QueuedHeartbeat item = std::move(queue_.front());
+    queue_.pop_front();
+    if (!leader_endpoint_ || now > item.deadline - kMinTimeToAnswer) {
+      respond_unavailable(item.respond);
+      continue;
     }
-    if (!items.empty()) put(std::move(items), false);
+    batch_bytes += item_bytes;
+    batch.push_back(std::move(item));
   }
+  return batch;
 }
 
-bool Relay::told_before(const Waiting& item) const {
-  const auto told = told_.find(item.heartbeat.machine);
-  return !item.whole && told != told_.end() &&
-         protocol::unchanged(told->second.heartbeat, item.heartbeat);
+size_t Relay::estimated_bytes(const QueuedHeartbeat& item) const {
+  if (route() == Route::direct) return kUnchangedBytes + item.payload.size();
+  if (acknowledged_sequence(item)) return kUnchangedBytes;
+  return kCompactBytes + kCompactTaskBytes * item.heartbeat.tasks.size();
 }
 
-size_t Relay::bytes_of(const Waiting& item) const {
-  if (!uses_store()) return kUnchangedBytes + item.payload.size();
-  if (told_before(item)) return kUnchangedBytes;
-  return kShortReportBytes + kShortTaskBytes * item.heartbeat.tasks.size();
+std::optional<std::uint64_t> Relay::acknowledged_sequence(const QueuedHeartbeat& item) const {
+  if (item.full_payload_requested) return std::nullopt;
+  return acknowledged_.find_unchanged(item.heartbeat);
 }
 
-bool Relay::may_send() const {
-  return uses_store() ? store_relay_.has_free_slot() : under_way_ < kMostUnderWay;
+protocol::RelayedHeartbeat Relay::encode(const QueuedHeartbeat& item, Route route) const {
+  protocol::RelayedHeartbeat out;
+  if (const auto base_sequence = acknowledged_sequence(item)) {
+    out.machine = item.heartbeat.machine;
+    out.incarnation = item.heartbeat.incarnation;
+    out.sequence = item.heartbeat.sequence;
+    out.base_sequence = *base_sequence;
+  } else if (route == Route::store) {
+    out.heartbeat = item.heartbeat;
+  } else {
+    out.payload = item.payload;
+  }
+  return out;
 }
 
-void Relay::put(Items items, bool repeated) {
-  protocol::RelayBatch batch{settings_.member, fencing_token_, {}};
-  Seconds until = items.front().until;
-  const bool by_store = uses_store();
-  for (const auto& item : items) {
-    until = std::min(until, item.until);
-    const auto& heartbeat = item.heartbeat;
-    protocol::RelayedHeartbeat out;
-    if (told_before(item)) {
-      out = {"", heartbeat.machine, heartbeat.incarnation, heartbeat.sequence,
-             told_.at(heartbeat.machine).heartbeat.sequence};
-    } else if (by_store) {
-      out.heartbeat = heartbeat;
-    } else {
-      out.payload = item.payload;
-    }
-    batch.heartbeats.push_back(std::move(out));
+void Relay::send_batch(Batch batch, Attempt attempt) {
+  const Route route = this->route();
+  protocol::RelayBatch message{settings_.member, fencing_token_, {}};
+  Seconds deadline = batch.front().deadline;
+  for (const auto& item : batch) {
+    deadline = std::min(deadline, item.deadline);
+    message.heartbeats.push_back(encode(item, route));
   }
-  ++under_way_;
-  auto kept = std::make_shared<Items>(std::move(items));
-  const auto done = [this, kept, repeated, by_store](transport::Outcome outcome,
-                                                     const transport::Response& response) {
-    --under_way_;
-    answered(std::move(*kept), repeated, by_store, outcome, response);
-    arm();
-  };
-  if (by_store) {
-    store_relay_.send(batch, until, done);
+  ++batches_in_flight_;
+  const auto shared_batch = std::make_shared<Batch>(std::move(batch));
+  const auto on_reply =
+      scope_.wrap([this, shared_batch, attempt, route](transport::Outcome outcome,
+                                                       const transport::Response& response) {
+        --batches_in_flight_;
+        handle_reply(std::move(*shared_batch), attempt, route, outcome, response);
+        schedule_send();
+      });
+  if (route == Route::store) {
+    store_relay_.send(message, deadline, on_reply);
   } else {
-    client_.call(endpoint_, {"POST", protocol::kRelayPath, protocol::encode_batch(batch)},
-                 std::max(0.0, until - clock_.now()), done);
+    // A repeated batch may find that this controller no longer knows a leader that is a peer; the
+    // call then fails like any other.
+    client_.call(leader_endpoint_.value_or(""),
+                 {"POST", protocol::kRelayPath, protocol::encode_batch(message)},
+                 std::max(0.0, deadline - clock_.now()), on_reply);
   }
 }
 
-void Relay::answered(Items items, bool repeated, bool by_store, transport::Outcome outcome,
-                     const transport::Response& response) {
+void Relay::handle_reply(Batch batch, Attempt attempt, Route route, transport::Outcome outcome,
+                         const transport::Response& response) {
   std::vector<protocol::RelayedAnswer> answers;
-  if (outcome == transport::Outcome::answered) {
-    try {
-      if (response.status == 200) {
-        answers = protocol::parse_batch_answers(response.body);
-      } else if (response.status == 409) {
-        // The leader has another token by now; it says which.
-        fencing_token_ = std::max(fencing_token_, protocol::parse_fencing_token(response.body));
-        if (!repeated) {
-          put(std::move(items), true);
-          return;
-        }
+  try {
+    if (outcome == transport::Outcome::answered && response.status == kOk) {
+      answers = protocol::parse_batch_answers(response.body);
+    }
+    if (outcome == transport::Outcome::answered && response.status == kStaleToken) {
+      // The leader was elected again and says under which token.
+      fencing_token_ = std::max(fencing_token_, protocol::parse_fencing_token(response.body));
+      if (attempt == Attempt::first) {
+        send_batch(std::move(batch), Attempt::after_stale_token);
+        return;
       }
-    } catch (const std::exception& error) {
-      spdlog::error("leader: {}", error.what());
-      answers.clear();
     }
+  } catch (const std::exception& error) {
+    spdlog::error("malformed reply to relayed heartbeats: leader={} error={}", leader_,
+                  error.what());
   }
-  if (answers.size() != items.size()) {
-    if (!by_store) reached_at_ = -1;
-    for (const auto& item : items) give_up(item);
-    return;
+  if (answers.size() == batch.size()) {
+    complete_batch(std::move(batch), std::move(answers), route);
+  } else {
+    fail_batch(batch, route);
   }
+}
+
+void Relay::fail_batch(const Batch& batch, Route route) {
+  if (route == Route::direct) reachability_.record_failure();
+  for (const auto& item : batch) respond_unavailable(item.respond);
+}
+
+void Relay::complete_batch(Batch batch, std::vector<protocol::RelayedAnswer> answers, Route route) {
   const Seconds now = clock_.now();
-  if (!by_store) reached_at_ = unreached_since_ = now;
-  for (size_t i = 0; i < items.size(); ++i) {
-    Waiting& item = items[i];
-    if (answers[i].status == protocol::kNeedsPayload) {
-      told_.erase(item.heartbeat.machine);
-      if (item.whole) {
-        give_up(item);
-      } else {
-        item.whole = true;
-        queue_.push_front(std::move(item));
-      }
+  if (route == Route::direct) reachability_.record_answer();
+  for (size_t i = 0; i < batch.size(); ++i) {
+    QueuedHeartbeat& item = batch[i];
+    protocol::RelayedAnswer& answer = answers[i];
+    if (answer.status == protocol::kNeedsPayload) {
+      resend_in_full(std::move(item));
       continue;
     }
-    if (answers[i].status == 200) {
-      Told& told = told_[item.heartbeat.machine];
-      told.at = now;
-      if (!protocol::unchanged(told.heartbeat, item.heartbeat) || item.whole) {
-        told.heartbeat = std::move(item.heartbeat);
-      }
-    }
-    item.respond({answers[i].status, std::move(answers[i].body), 0, true});
+    if (answer.status == kOk) acknowledge(item, now);
+    item.respond({answer.status, std::move(answer.body), 0, true});
+  }
+}
+
+void Relay::resend_in_full(QueuedHeartbeat item) {
+  acknowledged_.forget(item.heartbeat.machine);
+  if (item.full_payload_requested) {
+    respond_unavailable(item.respond);
+    return;
+  }
+  item.full_payload_requested = true;
+  queue_.push_front(std::move(item));
+}
+
+void Relay::acknowledge(QueuedHeartbeat& item, Seconds now) {
+  if (item.full_payload_requested) {
+    acknowledged_.acknowledge_full_payload(std::move(item.heartbeat), now);
+  } else {
+    acknowledged_.acknowledge(std::move(item.heartbeat), now);
   }
 }
 
-void Relay::forget_old() {
-  const Seconds limit = settings_.lease_s * kToldLeases;
-  std::erase_if(told_, [&](const auto& told) { return clock_.now() - told.second.at > limit; });
-  clock_.after(limit / 2, [this] { forget_old(); });
+void Relay::drop_old_acknowledgements() {
+  const Seconds max_age = settings_.lease_s * kAcknowledgedLeases;
+  acknowledged_.drop_older_than(max_age, clock_.now());
+  scope_.after(max_age / 2, [this] { drop_old_acknowledgements(); });
 }
 
 }  // namespace larkroad::coordination
--- a/src/coordination/relay/relay.hpp
+++ b/src/coordination/relay/relay.hpp
@@ -1,85 +1,102 @@
-// Workers' reports on a node that does not lead. They go to the leader in batches, and a worker
-// hears the leader's own answer to that very report, or 503 in time. A relay never answers 200 by
-// itself, so only the leader's word renews a worker's lease.
+/// Heartbeats that workers send to a controller which does not lead.
+///
+/// They go to the leader in batches, and each worker gets the leader's own answer to that very
+/// heartbeat, or 503 in time. A relay never answers 200 by itself: only the leader's answer renews
+/// a worker's lease.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <deque>
+#include <memory>
+#include <optional>
 #include <string>
-#include <unordered_map>
 #include <vector>
 
+#include "coordination/relay/acknowledged_heartbeats.hpp"
+#include "coordination/relay/leader_reachability.hpp"
 #include "coordination/relay/store_relay_client.hpp"
 #include "protocol/relay_messages.hpp"
 #include "protocol/worker_messages.hpp"
 #include "settings.hpp"
+#include "transport/callback_scope.hpp"
 #include "transport/http.hpp"
 
 namespace larkroad::coordination {
 
 using transport::Seconds;
 
+/// Queues heartbeats, sends them to the leader in batches, and hands its answers on.
+///
+/// There are two routes: directly to the leader, and by way of the key-value store where a network
+/// partition lies between the two controllers. Heartbeats are answered in no particular order; each
+/// is answered once, at the latest shortly before its worker would stop waiting. What is queued and
+/// under way is bounded.
 class Relay {
  public:
   Relay(transport::Clock& clock, transport::Client& client, StoreRelayClient& store_relay,
         const Settings& settings);
 
-  // Who leads, as far as this node knows; an empty name: nobody.
+  /// Who leads, as far as this controller knows (empty: nobody), and its fencing token.
   void aim(const std::string& member, std::uint64_t fencing_token);
+  /// The leader that was set last; empty: none is known.
   const std::string& aimed_at() const { return leader_; }
-  // The peer has answered, or has not.
+  /// A call of this controller to `member` was answered, or was not.
   void reached(const std::string& member, bool answered);
-  // Whether the leader has answered this node lately.
+  /// Whether the leader is a peer that has answered this controller recently.
   bool works() const;
-  // Whether the leader is known, but has answered nothing for longer than it would keep the lead if
-  // it had ended: it can only be reached by way of the state service.
-  bool cut_off() const;
-  // Whether batches may go by way of the state service when the leader cannot be reached.
-  void allow_store(bool allowed) { store_allowed_ = allowed; }
-  bool uses_store() const { return store_allowed_ && !works() && cut_off(); }
-  // `words` is the report as its worker sent it.
+  /// Whether batches may go by way of the key-value store, see `uses_store`.
+  void allow_store(bool allowed) { store_route_allowed_ = allowed; }
+  /// Whether batches go by way of the key-value store at present: it is allowed, and the leader is
+  /// known to be alive but cannot be reached.
+  bool uses_store() const;
+  /// Passes a heartbeat on; `payload` is its text as the worker sent it.
   void take(std::string payload, protocol::Heartbeat heartbeat, transport::Respond respond);
 
  private:
-  struct Waiting {
+  enum class Route { direct, store };
+  enum class Attempt { first, after_stale_token };
+
+  struct QueuedHeartbeat {
     std::string payload;
     protocol::Heartbeat heartbeat;
     transport::Respond respond;
-    Seconds until = 0;
-    bool whole = false;  // the leader has asked for the words
+    Seconds deadline = 0;
+    bool full_payload_requested = false;  // by the leader, which cannot decode the delta
   };
-  using Items = std::vector<Waiting>;
-  void arm();
-  void send();
-  // Whether one more batch may be under way.
-  bool may_send() const;
-  // Whether the leader has answered a report that says the same.
-  bool told_before(const Waiting& item) const;
-  size_t bytes_of(const Waiting& item) const;
-  void answered(Items items, bool repeated, bool by_store, transport::Outcome outcome,
-                const transport::Response& response);
-  void put(Items items, bool repeated);
-  static void give_up(const Waiting& item);
-  void forget_old();
+  using Batch = std::vector<QueuedHeartbeat>;
+
+  Route route() const { return uses_store() ? Route::store : Route::direct; }
+  bool may_send_batch() const;
+  void schedule_send();
+  void send_queue();
+  Batch take_batch();
+  size_t estimated_bytes(const QueuedHeartbeat& item) const;
+  std::optional<std::uint64_t> acknowledged_sequence(const QueuedHeartbeat& item) const;
+  protocol::RelayedHeartbeat encode(const QueuedHeartbeat& item, Route route) const;
+  void send_batch(Batch batch, Attempt attempt);
+  void handle_reply(Batch batch, Attempt attempt, Route route, transport::Outcome outcome,
+                    const transport::Response& response);
+  void fail_batch(const Batch& batch, Route route);
+  void complete_batch(Batch batch, std::vector<protocol::RelayedAnswer> answers, Route route);
+  void resend_in_full(QueuedHeartbeat item);
+  void acknowledge(QueuedHeartbeat& item, Seconds now);
+  void drop_old_acknowledgements();
 
   transport::Clock& clock_;
   transport::Client& client_;
   StoreRelayClient& store_relay_;
   const Settings& settings_;
   std::string leader_;
-  std::string endpoint_;
-  std::uint64_t fencing_token_ = 0;
-  Seconds reached_at_ = -1;
-  Seconds unreached_since_ = 0;  // the leader has not answered since then
-  bool store_allowed_ = false;
-  std::deque<Waiting> queue_;
-  int under_way_ = 0;
-  bool armed_ = false;
-  // The last report of each machine that the leader has answered in whole.
-  struct Told {
-    protocol::Heartbeat heartbeat;
-    Seconds at = 0;
-  };
-  std::unordered_map<std::string, Told> told_;
+  std::optional<std::string> leader_endpoint_;  // none: no leader, or it is not a peer
+  std::uint64_t fencing_token_ = 0;             // the highest known of this leader
+  LeaderReachability reachability_;
+  AcknowledgedHeartbeats acknowledged_;
+  bool store_route_allowed_ = false;
+  std::deque<QueuedHeartbeat> queue_;
+  int batches_in_flight_ = 0;
+  bool send_scheduled_ = false;
+  transport::CallbackScope scope_;  // last, so that nothing runs on a relay half destroyed
 };
 
 }  // namespace larkroad::coordination
--- /dev/null
+++ b/tests/relay_parts_test.cpp
@@ -0,0 +1,127 @@
+/// The parts of the relay that can be made alone.
+#include <gtest/gtest.h>
+
+#include "coordination/relay/acknowledged_heartbeats.hpp"
+#include "coordination/relay/leader_reachability.hpp"
+#include "coordination/relay/slot_pool.hpp"
+#include "support.hpp"
+
+namespace larkroad::coordination {
+namespace {
+
+protocol::Heartbeat heartbeat_of(const std::string& machine, std::uint64_t sequence) {
+  protocol::Heartbeat heartbeat;
+  heartbeat.machine = machine;
+  heartbeat.incarnation = 1;
+  heartbeat.sequence = sequence;
+  return heartbeat;
+}
+
+TEST(AcknowledgedHeartbeats, GiveTheSequenceOfTheOneReceivedInFull) {
+  AcknowledgedHeartbeats acknowledged;
+  EXPECT_EQ(acknowledged.find_unchanged(heartbeat_of("i-1", 1)), std::nullopt);
+  acknowledged.acknowledge(heartbeat_of("i-1", 1), 10);
+  EXPECT_EQ(acknowledged.find_unchanged(heartbeat_of("i-1", 2)), 1u);
+  // One that was sent as unchanged is not what the leader keeps.
+  acknowledged.acknowledge(heartbeat_of("i-1", 2), 11);
+  EXPECT_EQ(acknowledged.find_unchanged(heartbeat_of("i-1", 3)), 1u);
+  // One whose payload the leader asked for is.
+  acknowledged.acknowledge_full_payload(heartbeat_of("i-1", 3), 12);
+  EXPECT_EQ(acknowledged.find_unchanged(heartbeat_of("i-1", 4)), 3u);
+  EXPECT_EQ(acknowledged.find_unchanged(heartbeat_of("i-2", 4)), std::nullopt);
+}
+
+TEST(AcknowledgedHeartbeats, ChangedOnesAreNotFound) {
+  AcknowledgedHeartbeats acknowledged;
+  acknowledged.acknowledge(heartbeat_of("i-1", 1), 10);
+  protocol::Heartbeat changed = heartbeat_of("i-1", 2);
+  changed.fencing_token = 7;
+  EXPECT_EQ(acknowledged.find_unchanged(changed), std::nullopt);
+  acknowledged.acknowledge(changed, 11);
+  changed.sequence = 3;
+  EXPECT_EQ(acknowledged.find_unchanged(changed), 2u);
+}
+
+TEST(AcknowledgedHeartbeats, AreForgottenWhenAskedAndWhenOld) {
+  AcknowledgedHeartbeats acknowledged;
+  acknowledged.acknowledge(heartbeat_of("i-1", 1), 10);
+  acknowledged.acknowledge(heartbeat_of("i-2", 1), 14);
+  acknowledged.drop_older_than(5, 15);
+  EXPECT_EQ(acknowledged.find_unchanged(heartbeat_of("i-1", 2)), 1u);
+  acknowledged.drop_older_than(5, 16);
+  EXPECT_EQ(acknowledged.find_unchanged(heartbeat_of("i-1", 2)), std::nullopt);
+  EXPECT_EQ(acknowledged.find_unchanged(heartbeat_of("i-2", 2)), 1u);
+  acknowledged.forget("i-2");
+  EXPECT_EQ(acknowledged.find_unchanged(heartbeat_of("i-2", 2)), std::nullopt);
+}
+
+TEST(SlotPool, GivesTheLowestFreeSlot) {
+  SlotPool slots(2);
+  EXPECT_EQ(slots.acquire(), 0u);
+  EXPECT_TRUE(slots.has_free());
+  EXPECT_EQ(slots.acquire(), 1u);
+  EXPECT_FALSE(slots.has_free());
+  EXPECT_EQ(slots.acquire(), std::nullopt);
+  slots.release(0);
+  EXPECT_TRUE(slots.has_free());
+  EXPECT_EQ(slots.acquire(), 0u);
+}
+
+// Time that stands still until a test moves it; it has no timers.
+class ManualClock : public transport::Clock {
+ public:
+  Seconds now() const override { return time; }
+  Seconds unix_time() const override { return time; }
+  transport::TimerId after(Seconds, std::function<void()>) override { return 0; }
+  void cancel(transport::TimerId) override {}
+  Seconds time = 100;
+};
+
+class LeaderReachabilityTest : public ::testing::Test {
+ protected:
+  const Settings settings = testing::settings();
+  ManualClock clock;
+  LeaderReachability reachability{clock, settings};
+};
+
+TEST_F(LeaderReachabilityTest, IsUnknownAtFirst) {
+  EXPECT_FALSE(reachability.is_reachable());
+  EXPECT_FALSE(reachability.is_partitioned());
+}
+
+TEST_F(LeaderReachabilityTest, AnAnswerCountsForOneHeartbeatInterval) {
+  reachability.record_answer();
+  EXPECT_TRUE(reachability.is_reachable());
+  clock.time += settings.heartbeat_interval_s * 1.01;
+  EXPECT_FALSE(reachability.is_reachable());
+}
+
+TEST_F(LeaderReachabilityTest, AFailureCountsAtOnceButIsNoPartitionYet) {
+  reachability.record_answer();
+  reachability.record_failure();
+  EXPECT_FALSE(reachability.is_reachable());
+  EXPECT_FALSE(reachability.is_partitioned());
+}
+
+TEST_F(LeaderReachabilityTest, IsPartitionedOnceALeaderThatEndedWouldHaveLostItsKey) {
+  reachability.record_answer();
+  clock.time += settings.lease_s * 0.19;
+  EXPECT_FALSE(reachability.is_partitioned());
+  clock.time += settings.lease_s * 0.02;
+  EXPECT_TRUE(reachability.is_partitioned());
+  reachability.record_failure();
+  EXPECT_TRUE(reachability.is_partitioned());
+  reachability.record_answer();
+  EXPECT_FALSE(reachability.is_partitioned());
+}
+
+TEST_F(LeaderReachabilityTest, NothingIsKnownOfANewLeader) {
+  reachability.record_answer();
+  clock.time += settings.lease_s;
+  reachability.reset();
+  EXPECT_FALSE(reachability.is_reachable());
+  EXPECT_FALSE(reachability.is_partitioned());
+}
+
+}  // namespace
+}  // namespace larkroad::coordination
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -1,12 +1,10 @@
-// Reports on their way to the leader: the relay's side, the relay_assignment of workers, and the
-// batches.
+/// The relay of heartbeats to the leader, and the batches that it sends.
 #include "coordination/relay/relay.hpp"
 
 #include <gtest/gtest.h>
 
 #include <deque>
 
-#include "coordination/relay/relay_assignment.hpp"
 #include "support.hpp"
 
 namespace larkroad::coordination {
@@ -17,7 +15,7 @@
 using transport::Request;
 using transport::Response;
 
-TEST(Batches, ComeBackAsTheyWere) {
+TEST(RelayBatches, ComeBackAsTheyWere) {
   const protocol::RelayBatch batch{
       "node-1", 7, {{R"({"perch":"i-1"})", "", 0, 0, 0}, {"", "i-2", 1, 9, 8}}};
   const auto back = protocol::parse_batch(protocol::encode_batch(batch));
@@ -30,7 +28,7 @@
   EXPECT_EQ(back.heartbeats[1].base_sequence, 8u);
 }
 
-TEST(Batches, MalformedOnesAreRefused) {
+TEST(RelayBatches, MalformedOnesAreRefused) {
   for (const char* body :
        {"", "[]", "{}", R"({"member":"node-1","token":1})",
         R"({"member":"node-1","token":-1,"reports":[]})",
@@ -41,8 +39,6 @@
   }
 }
 
-// ---------------------------------------------------------------- the relay
-
 class FakeClock : public transport::Clock {
  public:
   Seconds now() const override { return now_; }
@@ -100,7 +96,7 @@
         R"("flight":1,"tick":)" +
         std::to_string(sequence) + R"(,"baton":5,"recallS":null,"legs":)" + legs + "}";
     relay.take(payload, protocol::parse_heartbeat(payload),
-               [this](Response response) { heard.push_back(std::move(response)); });
+               [this](Response response) { responses.push_back(std::move(response)); });
     clock.run(settings.heartbeat_interval_s / 50);
   }
   void answer(int status, const std::string& body = R"({"baton":5,"calls":[]})") {
@@ -115,19 +111,19 @@
   storage::KeyValueClient state;
   StoreRelayClient store;
   Relay relay;
-  std::vector<Response> heard;
+  std::vector<Response> responses;
 };
 
-TEST_F(RelayTest, HandsOnTheLeadersAnswerAndSendsWhatIsUnchangedInShort) {
+TEST_F(RelayTest, HandsOnTheLeadersAnswerAndSendsUnchangedHeartbeatsAsDeltas) {
   heartbeat(1);
   ASSERT_EQ(client.calls.size(), 1u);
   EXPECT_EQ(client.calls[0].endpoint, "127.0.0.2:18081");
   EXPECT_FALSE(client.calls[0].batch.heartbeats[0].payload.empty());
-  EXPECT_TRUE(heard.empty());  // nothing by itself
+  EXPECT_TRUE(responses.empty());  // nothing by itself
   answer(200, "the leader's words");
-  ASSERT_EQ(heard.size(), 1u);
-  EXPECT_EQ(heard[0].status, 200);
-  EXPECT_EQ(heard[0].body, "the leader's words");
+  ASSERT_EQ(responses.size(), 1u);
+  EXPECT_EQ(responses[0].status, 200);
+  EXPECT_EQ(responses[0].body, "the leader's words");
 
   heartbeat(2);
   EXPECT_TRUE(client.calls[0].batch.heartbeats[0].payload.empty());
@@ -139,21 +135,21 @@
   EXPECT_FALSE(client.calls[0].batch.heartbeats[0].payload.empty());
 }
 
-TEST_F(RelayTest, SendsTheWordsToALeaderThatKnowsNoEarlierReport) {
+TEST_F(RelayTest, SendsThePayloadToALeaderWithoutTheEarlierHeartbeat) {
   heartbeat(1);
   answer(200);
   heartbeat(2);
   ASSERT_TRUE(client.calls[0].batch.heartbeats[0].payload.empty());
   answer(protocol::kNeedsPayload, "");
-  EXPECT_EQ(heard.size(), 1u);
+  EXPECT_EQ(responses.size(), 1u);
   clock.run(settings.heartbeat_interval_s / 50);
   ASSERT_EQ(client.calls.size(), 1u);
   EXPECT_FALSE(client.calls[0].batch.heartbeats[0].payload.empty());
   answer(200);
-  EXPECT_EQ(heard.back().status, 200);
+  EXPECT_EQ(responses.back().status, 200);
 }
 
-TEST_F(RelayTest, AnswersInTimeWhenTheLeaderDoesNot) {
+TEST_F(RelayTest, Answers503InTimeWhenTheLeaderDoesNotAnswer) {
   const struct {
     const char* what;
     std::function<void(FakeClient::Call&)> reply;
@@ -178,21 +174,21 @@
        }},
   };
   for (const auto& c : cases) {
-    heard.clear();
+    responses.clear();
     heartbeat(1);
     ASSERT_EQ(client.calls.size(), 1u) << c.what;
     EXPECT_LE(client.calls[0].timeout, 2) << c.what;  // workers wait for 4 s
     auto call = std::move(client.calls.front());
     client.calls.pop_front();
     c.reply(call);
-    ASSERT_EQ(heard.size(), 1u) << c.what;
-    EXPECT_EQ(heard[0].status, 503) << c.what;
+    ASSERT_EQ(responses.size(), 1u) << c.what;
+    EXPECT_EQ(responses[0].status, 503) << c.what;
     EXPECT_FALSE(relay.works()) << c.what;
     relay.reached("node-1", true);
   }
 }
 
-TEST_F(RelayTest, TakesUpTheTokenThatTheLeaderHasByNow) {
+TEST_F(RelayTest, RetriesOnceWithTheLeadersNewFencingToken) {
   heartbeat(1);
   EXPECT_EQ(client.calls[0].batch.fencing_token, 5u);
   auto call = std::move(client.calls.front());
@@ -205,19 +201,19 @@
   client.calls.pop_front();
   call.reply(Outcome::answered, {409, protocol::encode_fencing_token(11), 0});
   EXPECT_TRUE(client.calls.empty());
-  ASSERT_EQ(heard.size(), 1u);
-  EXPECT_EQ(heard[0].status, 503);
+  ASSERT_EQ(responses.size(), 1u);
+  EXPECT_EQ(responses[0].status, 503);
 }
 
-TEST_F(RelayTest, HoldsNoMoreThanItsBoundAndNothingForLong) {
+TEST_F(RelayTest, QueueIsBoundedAndAnsweredInTime) {
   // Two batches hang; what comes meanwhile waits, up to the bound, and is answered in time.
   heartbeat(1);
   heartbeat(2);
   ASSERT_EQ(client.calls.size(), 2u);
   for (int i = 0; i < settings.sockets + 10; ++i) {
-    relay.take("{}", {}, [this](Response response) { heard.push_back(std::move(response)); });
+    relay.take("{}", {}, [this](Response response) { responses.push_back(std::move(response)); });
   }
-  EXPECT_EQ(heard.size(), 10u);
+  EXPECT_EQ(responses.size(), 10u);
   clock.run(2);
   for (int i = 0; i < 2; ++i) {
     auto call = std::move(client.calls.front());
@@ -225,77 +221,8 @@
     call.reply(Outcome::unknown, {});
   }
   clock.run(settings.heartbeat_interval_s / 50);
-  EXPECT_EQ(heard.size(), 12u + static_cast<size_t>(settings.sockets));
-  for (const auto& response : heard) EXPECT_EQ(response.status, 503);
-}
-
-// ---------------------------------------------------------------- relay_assignment
-
-class HomesTest : public ::testing::Test {
- protected:
-  HomesTest() : settings(testing::settings()), relay_assignment(settings) {
-    relay_assignment.relays("node-1", 0);  // in the west
-    relay_assignment.relays("node-2", 0);  // in the east
-  }
-  // Workers from `from` to `to` come straight to the leader; how many were sent on, and where to.
-  std::map<std::string, int> come(int from, int to, Seconds now) {
-    std::map<std::string, int> out;
-    for (int i = from; i < to; ++i) {
-      const std::string name = "i-" + std::to_string(i);
-      const auto home = relay_assignment.elsewhere(name, "east", "", now);
-      ++out[home.value_or("")];
-      if (!home) relay_assignment.reported(name, "", now);
-    }
-    return out;
-  }
-  Settings settings;
-  RelayAssignment relay_assignment;
-  const int own = static_cast<int>(relay_assignment.share(""));
-  const int relay = static_cast<int>(relay_assignment.share("node-1"));
-};
-
-TEST_F(HomesTest, KeepAFewWorkersTogether) {
-  EXPECT_EQ(come(0, own, 1), (std::map<std::string, int>{{"", own}}));
-  EXPECT_FALSE(relay_assignment.spread());
-}
-
-TEST_F(HomesTest, SpreadManyOverTheRelaysTheirOwnZoneFirst) {
-  EXPECT_GT(relay, own);
-  EXPECT_EQ(come(0, own + relay + 5, 1),
-            (std::map<std::string, int>{{"", own}, {"node-1", 5}, {"node-2", relay}}));
-  EXPECT_TRUE(relay_assignment.spread());
-  // Those who are seated stay.
-  EXPECT_EQ(come(0, own, 2), (std::map<std::string, int>{{"", own}}));
-}
-
-TEST_F(HomesTest, SendNobodyInCircles) {
-  come(0, own, 1);
-  EXPECT_EQ(come(900, 901, 1).count(""), 0u);
-  EXPECT_EQ(come(900, 901, 1.2).count(""), 1u);  // it comes back: it is served
-}
-
-TEST_F(HomesTest, WithoutARelayTheLeaderServesThemAll) {
-  const Seconds later = settings.heartbeat_interval_s * 3;
-  EXPECT_EQ(come(0, 500, later), (std::map<std::string, int>{{"", 500}}));
-}
-
-TEST_F(HomesTest, ARelayWithTooManyPassesThemOn) {
-  for (size_t i = 0; i < static_cast<size_t>(relay); ++i) {
-    relay_assignment.reported("i-" + std::to_string(i), "node-1", 1);
-  }
-  EXPECT_EQ(relay_assignment.elsewhere("i-0", "west", "node-1", 1), std::nullopt);
-  EXPECT_EQ(relay_assignment.elsewhere("i-900", "west", "node-1", 1), "node-2");
-}
-
-TEST_F(HomesTest, WorkersComeBackWhenThereAreFew) {
-  come(0, own + 1, 1);
-  ASSERT_TRUE(relay_assignment.spread());
-  relay_assignment.count(std::nullopt, 2);  // how many there are is not known yet
-  EXPECT_TRUE(relay_assignment.spread());
-  relay_assignment.count(own, 2);
-  EXPECT_TRUE(relay_assignment.spread());
-  relay_assignment.count(own / 2, 2);
-  EXPECT_FALSE(relay_assignment.spread());
+  EXPECT_EQ(responses.size(), 12u + static_cast<size_t>(settings.sockets));
+  for (const auto& response : responses) EXPECT_EQ(response.status, 503);
 }
 
 }  // namespace
