--- a/src/coordination/relay/relay_assignment.cpp
+++ b/src/coordination/relay/relay_assignment.cpp
@@ -6,93 +6,110 @@
 namespace larkroad::coordination {
 namespace {
 
-// The part of a node's sockets that is meant for workers' connections. The leader takes fewer: it
-// has the decisions to make, too, and a report from a relay costs it a fraction of one that comes
-// straight.
-constexpr double kLeaderSockets = 0.2;
-constexpr double kRelaySockets = 0.4;
-// Workers come back to the leader when all of them would fill no more than this of its share.
-constexpr double kTogetherBelow = 0.7;
-// A worker that has not reported for this many intervals no longer counts where it was.
-constexpr double kRecentReports = 2.5;
+// The part of a controller's sockets that is meant for workers' connections. The leader takes
+// fewer: it also schedules, and a heartbeat from a relay costs it a fraction of one that comes
+// directly.
+constexpr double kLeaderSocketRatio = 0.2;
+constexpr double kRelaySocketRatio = 0.4;
+// Workers return to the leader when all of them would fill no more than this part of its capacity.
+// The gap to the full capacity keeps them from being moved to and fro.
+constexpr double kReturnRatio = 0.7;
+// A worker that has sent no heartbeat for this many intervals no longer counts where it was.
+constexpr double kRecentIntervals = 2.5;
 // A peer counts as a relay for this many intervals after it said so.
-constexpr double kRelayReports = 1;
+constexpr double kAnnouncedIntervals = 1;
 
 }  // namespace
 
 RelayAssignment::RelayAssignment(const Settings& settings)
     : settings_(settings),
-      own_share_(static_cast<size_t>(settings.sockets * kLeaderSockets)),
-      relay_share_(static_cast<size_t>(settings.sockets * kRelaySockets)) {}
+      leader_capacity_(static_cast<size_t>(settings.sockets * kLeaderSocketRatio)),
+      relay_capacity_(static_cast<size_t>(settings.sockets * kRelaySocketRatio)) {}
 
-void RelayAssignment::clear(bool spread) {
-  spread_ = spread;
+void RelayAssignment::clear(bool distributed) {
+  distributed_ = distributed;
   routes_.clear();
-  counts_.clear();
-  relays_at_.clear();
+  worker_counts_.clear();
+  relay_announced_at_.clear();
 }
 
-bool RelayAssignment::recent(Seconds when, Seconds now) const {
-  return when >= 0 && now - when < settings_.heartbeat_interval_s * kRecentReports;
+bool RelayAssignment::is_recent(std::optional<Seconds> when, Seconds now) const {
+  return when && now - *when < settings_.heartbeat_interval_s * kRecentIntervals;
 }
 
-size_t RelayAssignment::at(const std::string& via) const {
-  const auto it = counts_.find(via);
-  return it == counts_.end() ? 0 : it->second;
+size_t RelayAssignment::at(const std::string& controller) const {
+  const auto found = worker_counts_.find(controller);
+  return found == worker_counts_.end() ? 0 : found->second;
 }
 
-void RelayAssignment::reported(const std::string& machine, const std::string& via, Seconds now) {
-  Route& seat = routes_[machine];
-  if (seat.via != via || !recent(seat.last_heartbeat_at, now)) {
-    if (recent(seat.last_heartbeat_at, now) && counts_[seat.via] > 0) --counts_[seat.via];
-    ++counts_[via];
-    seat.via = via;
+void RelayAssignment::reported(const std::string& machine, const std::string& controller,
+                               Seconds now) {
+  WorkerRoute& route = routes_[machine];
+  const bool counted = is_recent(route.last_heartbeat_at, now);
+  if (!counted || route.controller != controller) {
+    if (counted && worker_counts_[route.controller] > 0) --worker_counts_[route.controller];
+    ++worker_counts_[controller];
+    route.controller = controller;
   }
-  seat.last_heartbeat_at = now;
-  if (counts_[via] > share(via)) spread_ = true;
+  route.last_heartbeat_at = now;
+  if (worker_counts_[controller] > share(controller)) distributed_ = true;
 }
 
 std::optional<std::string> RelayAssignment::elsewhere(const std::string& machine,
                                                       const std::string& zone,
-                                                      const std::string& via, Seconds now) {
-  Route& seat = routes_[machine];
-  const bool seated = seat.via == via && recent(seat.last_heartbeat_at, now);
-  if (at(via) + (seated ? 0 : 1) <= share(via)) return std::nullopt;
-  // One that comes back from where it was sent is served, so that nobody is sent in circles.
-  if (recent(seat.sent_on_at, now)) return std::nullopt;
-  const PeerSettings* best = nullptr;
+                                                      const std::string& controller, Seconds now) {
+  WorkerRoute& route = routes_[machine];
+  const bool counted = route.controller == controller && is_recent(route.last_heartbeat_at, now);
+  const size_t count_with_it = at(controller) + (counted ? 0 : 1);
+  if (count_with_it <= share(controller)) return std::nullopt;
+  // One that returns from where it was redirected to is served, so that nobody is redirected in
+  // circles.
+  if (is_recent(route.redirected_at, now)) return std::nullopt;
+  distributed_ = true;
+  const PeerSettings* relay = choose_relay(zone, controller, now);
+  if (relay == nullptr) return std::nullopt;
+  route.redirected_at = now;
+  // Counted at once, so that the next worker sees it; `count` corrects it if it never arrives.
+  ++worker_counts_[relay->member];
+  return relay->member;
+}
+
+bool RelayAssignment::is_available_relay(const std::string& member, Seconds now) const {
+  const auto announced = relay_announced_at_.find(member);
+  return announced != relay_announced_at_.end() &&
+         now - announced->second <= settings_.heartbeat_interval_s * kAnnouncedIntervals &&
+         at(member) < relay_capacity_;
+}
+
+const PeerSettings* RelayAssignment::choose_relay(const std::string& zone,
+                                                  const std::string& excluded, Seconds now) const {
   const auto rank = [&](const PeerSettings& peer) {
-    return std::make_tuple(peer.zone != zone, at(peer.member), peer.member);
+    const bool other_zone = peer.zone != zone;
+    return std::make_tuple(other_zone, at(peer.member), peer.member);
   };
+  const PeerSettings* best = nullptr;
   for (const auto& peer : settings_.peers) {
-    const auto told = relays_at_.find(peer.member);
-    if (peer.member == via || told == relays_at_.end() ||
-        now - told->second > settings_.heartbeat_interval_s * kRelayReports ||
-        at(peer.member) >= relay_share_) {
-      continue;
-    }
+    if (peer.member == excluded || !is_available_relay(peer.member, now)) continue;
     if (best == nullptr || rank(peer) < rank(*best)) best = &peer;
   }
-  spread_ = true;
-  if (best == nullptr) return std::nullopt;
-  seat.sent_on_at = now;
-  ++counts_[best->member];  // as good as there; counted anew before long
-  return best->member;
+  return best;
 }
 
-void RelayAssignment::count(std::optional<size_t> machines, Seconds now) {
-  counts_.clear();
+void RelayAssignment::count(std::optional<size_t> machine_count, Seconds now) {
+  worker_counts_.clear();
   std::erase_if(routes_, [&](const auto& entry) {
-    return !recent(std::max(entry.second.last_heartbeat_at, entry.second.sent_on_at), now);
+    const WorkerRoute& route = entry.second;
+    return !is_recent(route.last_heartbeat_at, now) && !is_recent(route.redirected_at, now);
   });
-  for (const auto& [machine, seat] : routes_) {
-    if (recent(seat.last_heartbeat_at, now)) ++counts_[seat.via];
+  for (const auto& [machine, route] : routes_) {
+    if (is_recent(route.last_heartbeat_at, now)) ++worker_counts_[route.controller];
   }
-  if (!machines) return;
-  if (*machines > own_share_) {
-    spread_ = true;
-  } else if (static_cast<double>(*machines) < kTogetherBelow * static_cast<double>(own_share_)) {
-    spread_ = false;
+  if (!machine_count) return;
+  const double return_below = kReturnRatio * static_cast<double>(leader_capacity_);
+  if (*machine_count > leader_capacity_) {
+    distributed_ = true;
+  } else if (static_cast<double>(*machine_count) < return_below) {
+    distributed_ = false;
   }
 }
 
