--- a/src/coordination/api/user_api.cpp
+++ b/src/coordination/api/user_api.cpp
@@ -4,6 +4,7 @@
 
 #include "coordination/cluster_state/cluster_state.hpp"
 #include "log.hpp"
+#include "protocol/user_routes.hpp"
 
 namespace larkroad::coordination {
 namespace {
--- a/src/coordination/controller/controller.cpp
+++ b/src/coordination/controller/controller.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 
 #include "log.hpp"
+#include "protocol/user_routes.hpp"
 #include "protocol/worker_messages.hpp"
 
 namespace larkroad::coordination {
--- a/src/protocol/cloud_messages.cpp
+++ b/src/protocol/cloud_messages.cpp
@@ -1,99 +1,109 @@
 #include "protocol/cloud_messages.hpp"
 
+#include <array>
+#include <utility>
+
+#include "protocol/wire_names.hpp"
+
 namespace larkroad::protocol {
+namespace {
+
+constexpr int kListPageSize = 500;
+
+constexpr std::array<std::pair<const char*, ListedState>, 3> kListedStates{{
+    {"booting", ListedState::booting},
+    {"running", ListedState::running},
+    {"failed", ListedState::failed},
+}};
+
+MachineType parse_machine_type(const Json& item) {
+  MachineType type;
+  type.name = text(item, wire::kTypeName);
+  type.cpus = amount(item, wire::kCpus);
+  type.gpus = amount_or(item, wire::kGpus, 0);
+  type.memory_gb = amount(item, wire::kMemoryGb);
+  type.cache_gb = amount_or(item, wire::kCacheGb, 0);
+  type.fetch_gb_per_s = amount_or(item, wire::kFetchRate, 0);
+  type.price = amount(item, wire::kPrice);
+  type.spot_price = amount_or(item, wire::kSpotPrice, type.price);
+  type.boot_s = amount(item, wire::kBootTime);
+  type.zones = array_of_strings(item, wire::kZones);
+  return type;
+}
+
+ListedMachine parse_listed_machine(const Json& item) {
+  ListedMachine machine;
+  machine.name = text(item, wire::kId);
+  if (find(item, wire::kAddress) != nullptr) machine.address = text(item, wire::kAddress);
+  machine.type = text(item, wire::kMachineType);
+  machine.zone = text(item, wire::kZone);
+  machine.spot = boolean(item, wire::kSpot);
+  machine.state = named_value(kListedStates, item, wire::kState);
+  machine.age_s = amount(item, wire::kAge);
+  return machine;
+}
+
+}  // namespace
 
 std::vector<MachineType> parse_catalog(const std::string& body) {
   const Json json = parse_object(body);
-  std::vector<MachineType> out;
-  for (const Json& item : array(json, "breeds")) {
-    if (!item.is_object()) throw Malformed("breeds must be a list of objects");
-    MachineType type;
-    type.name = text(item, "name");
-    type.cpus = amount(item, "cores");
-    type.gpus = find(item, "accelerators") != nullptr ? amount(item, "accelerators") : 0;
-    type.memory_gb = amount(item, "memGb");
-    type.cache_gb = find(item, "localGb") != nullptr ? amount(item, "localGb") : 0;
-    type.fetch_gb_per_s = find(item, "fetchGbPerS") != nullptr ? amount(item, "fetchGbPerS") : 0;
-    type.price = amount(item, "hourly");
-    type.spot_price =
-        find(item, "marketPrice") != nullptr ? amount(item, "marketPrice") : type.price;
-    type.boot_s = amount(item, "bootS");
-    type.zones = array(item, "yards").get<std::vector<std::string>>();
-    out.push_back(std::move(type));
+  std::vector<MachineType> types;
+  for (const Json& item : array(json, wire::kMachineTypes)) {
+    require_object(item, wire::kMachineTypes);
+    types.push_back(parse_machine_type(item));
   }
-  return out;
+  return types;
 }
 
 std::string encode_catalog(const std::vector<MachineType>& types) {
   Json list = Json::array();
   for (const auto& type : types) {
-    list.push_back({{"name", type.name},
-                    {"cores", type.cpus},
-                    {"accelerators", type.gpus},
-                    {"memGb", type.memory_gb},
-                    {"localGb", type.cache_gb},
-                    {"fetchGbPerS", type.fetch_gb_per_s},
-                    {"hourly", type.price},
-                    {"marketPrice", type.spot_price},
-                    {"bootS", type.boot_s},
-                    {"yards", type.zones}});
+    list.push_back({{wire::kTypeName, type.name},
+                    {wire::kCpus, type.cpus},
+                    {wire::kGpus, type.gpus},
+                    {wire::kMemoryGb, type.memory_gb},
+                    {wire::kCacheGb, type.cache_gb},
+                    {wire::kFetchRate, type.fetch_gb_per_s},
+                    {wire::kPrice, type.price},
+                    {wire::kSpotPrice, type.spot_price},
+                    {wire::kBootTime, type.boot_s},
+                    {wire::kZones, type.zones}});
   }
-  return Json{{"breeds", std::move(list)}}.dump();
+  return Json{{wire::kMachineTypes, std::move(list)}}.dump();
 }
 
 std::string encode_rental(const RentalRequest& request) {
-  return Json{{"ask", request.request},
-              {"breed", request.type},
-              {"yard", request.zone},
-              {"loaners", request.spot},
-              {"number", request.count}}
+  return Json{{wire::kRequestId, request.request},
+              {wire::kMachineType, request.type},
+              {wire::kZone, request.zone},
+              {wire::kSpot, request.spot},
+              {wire::kMachineCount, request.count}}
       .dump();
 }
 
-std::string encode_return(const std::vector<std::string>& machines) {
-  return Json{{"perches", machines}}.dump();
-}
-
 std::vector<std::string> parse_rented(const std::string& body) {
-  std::vector<std::string> out;
   const Json json = parse_object(body);
-  for (const Json& name : array(json, "perches")) {
-    if (!name.is_string()) throw Malformed("perches must be a list of strings");
-    out.push_back(name.get<std::string>());
-  }
-  return out;
+  return array_of_strings(json, wire::kMachines);
+}
+
+std::string encode_return(const std::vector<std::string>& machines) {
+  return Json{{wire::kMachines, machines}}.dump();
 }
 
 MachinePage parse_machine_page(const std::string& body) {
   const Json json = parse_object(body);
   MachinePage page;
-  for (const Json& item : array(json, "perches")) {
-    if (!item.is_object()) throw Malformed("perches must be a list of objects");
-    ListedMachine machine;
-    machine.name = text(item, "ref");
-    machine.address = find(item, "address") != nullptr ? text(item, "address") : "";
-    machine.type = text(item, "breed");
-    machine.zone = text(item, "yard");
-    machine.spot = boolean(item, "loaners");
-    const std::string state = text(item, "stage");
-    if (state == "booting") {
-      machine.state = ListedState::booting;
-    } else if (state == "running") {
-      machine.state = ListedState::running;
-    } else if (state == "failed") {
-      machine.state = ListedState::failed;
-    } else {
-      throw Malformed("stage is unknown: " + state);
-    }
-    machine.age_s = amount(item, "ageS");
-    page.machines.push_back(std::move(machine));
+  for (const Json& item : array(json, wire::kMachines)) {
+    require_object(item, wire::kMachines);
+    page.machines.push_back(parse_listed_machine(item));
   }
-  page.more = find(json, "more") != nullptr && boolean(json, "more");
+  page.more = find(json, wire::kMore) != nullptr && boolean(json, wire::kMore);
   return page;
 }
 
 std::string list_target(const std::string& after) {
-  return "/rentals?limit=500" + (after.empty() ? std::string() : "&since=" + after);
+  const std::string first_page = std::string(kRentPath) + "?limit=" + std::to_string(kListPageSize);
+  return after.empty() ? first_page : first_page + "&since=" + after;
 }
 
 }  // namespace larkroad::protocol
--- a/src/protocol/json.cpp
+++ b/src/protocol/json.cpp
@@ -4,71 +4,82 @@
 #include <set>
 
 namespace larkroad::protocol {
-namespace {
-
-[[noreturn]] void fail(const char* key, const char* what) {
-  throw Malformed(std::string(key) + " " + what);
-}
-
-}  // namespace
 
 Json parse_object(const std::string& text) {
   std::set<std::string> keys;
-  bool twice = false;
-  const auto watch = [&](int depth, Json::parse_event_t event, Json& parsed) {
+  bool duplicate = false;
+  const auto note_key = [&](int depth, Json::parse_event_t event, Json& parsed) {
     if (event == Json::parse_event_t::key && depth == 1) {
-      twice = !keys.insert(parsed.get<std::string>()).second || twice;
+      const bool is_new = keys.insert(parsed.get<std::string>()).second;
+      duplicate = duplicate || !is_new;
     }
     return true;
   };
-  Json out = Json::parse(text, watch, /*allow_exceptions=*/false);
+  Json out = Json::parse(text, note_key, /*allow_exceptions=*/false);
   if (out.is_discarded()) throw Malformed("not JSON");
   if (!out.is_object()) throw Malformed("not an object");
-  if (twice) throw Malformed("a field is given twice");
+  if (duplicate) throw Malformed("a field is given twice");
   return out;
 }
 
 const Json* find(const Json& object, const char* key) {
-  const auto it = object.find(key);
-  return it == object.end() || it->is_null() ? nullptr : &*it;
+  const auto field = object.find(key);
+  return field == object.end() || field->is_null() ? nullptr : &*field;
 }
 
 const Json& need(const Json& object, const char* key) {
   const Json* value = find(object, key);
-  if (value == nullptr) fail(key, "is missing");
+  if (value == nullptr) throw Malformed(key, "is missing");
   return *value;
 }
 
 std::string text(const Json& object, const char* key) {
   const Json& value = need(object, key);
-  if (!value.is_string()) fail(key, "must be a string");
+  if (!value.is_string()) throw Malformed(key, "must be a string");
   return value.get<std::string>();
 }
 
 std::uint64_t integer(const Json& object, const char* key) {
   const Json& value = need(object, key);
-  if (!value.is_number_unsigned()) fail(key, "must be a whole number");
+  if (!value.is_number_unsigned()) throw Malformed(key, "must be a whole number");
   return value.get<std::uint64_t>();
 }
 
 bool boolean(const Json& object, const char* key) {
   const Json& value = need(object, key);
-  if (!value.is_boolean()) fail(key, "must be true or false");
+  if (!value.is_boolean()) throw Malformed(key, "must be true or false");
   return value.get<bool>();
 }
 
 double amount(const Json& object, const char* key, double least) {
   const Json& value = need(object, key);
-  if (!value.is_number()) fail(key, "must be a number");
+  if (!value.is_number()) throw Malformed(key, "must be a number");
   const double out = value.get<double>();
-  if (!std::isfinite(out) || out < least) fail(key, "is out of range");
+  if (!std::isfinite(out) || out < least) throw Malformed(key, "is out of range");
   return out;
 }
 
+double amount_or(const Json& object, const char* key, double missing) {
+  return find(object, key) != nullptr ? amount(object, key) : missing;
+}
+
 const Json& array(const Json& object, const char* key) {
   const Json& value = need(object, key);
-  if (!value.is_array()) fail(key, "must be a list");
+  if (!value.is_array()) throw Malformed(key, "must be a list");
   return value;
 }
 
+void require_object(const Json& item, const char* key) {
+  if (!item.is_object()) throw Malformed(key, "must be a list of objects");
+}
+
+std::vector<std::string> array_of_strings(const Json& object, const char* key) {
+  std::vector<std::string> out;
+  for (const Json& item : array(object, key)) {
+    if (!item.is_string()) throw Malformed(key, "must be a list of strings");
+    out.push_back(item.get<std::string>());
+  }
+  return out;
+}
+
 }  // namespace larkroad::protocol
--- a/src/protocol/relay_messages.cpp
+++ b/src/protocol/relay_messages.cpp
@@ -1,16 +1,50 @@
 #include "protocol/relay_messages.hpp"
 
-namespace larkroad::protocol {
+#include <utility>
 
+namespace larkroad::protocol {
 namespace {
 
-Json encode_short(const Heartbeat& heartbeat) {
+// Names on the wire between controllers, and in the records of the route by way of the store. The
+// versions in production read them, so they stay as they are.
+constexpr const char* kMember = "member";
+constexpr const char* kFencingToken = "token";
+constexpr const char* kHeartbeats = "reports";
+constexpr const char* kCompact = "short";
+constexpr const char* kPayload = "words";
+constexpr const char* kMachine = "machine";
+constexpr const char* kIncarnation = "session";
+constexpr const char* kSequence = "tick";
+constexpr const char* kBaseSequence = "base";
+constexpr const char* kAnswers = "answers";
+constexpr const char* kStatus = "status";
+constexpr const char* kBody = "body";
+
+// Positions in the compact form of a heartbeat.
+enum HeartbeatPosition : size_t {
+  machine_at,
+  address_at,
+  type_at,
+  zone_at,
+  spot_at,
+  incarnation_at,
+  sequence_at,
+  fencing_token_at,
+  reclaim_notice_at,
+  tasks_at,
+};
+
+// Positions in the compact form of a task.
+enum TaskPosition : size_t { job_at, task_at, attempt_at, state_at, cause_at, saved_at };
+
+Json encode_compact(const TaskStatus& task) {
+  return Json::array({task.id.job, task.id.task, task.attempt, static_cast<int>(task.state),
+                      static_cast<int>(task.cause), task.saved ? 1 : 0});
+}
+
+Json encode_compact(const Heartbeat& heartbeat) {
   Json tasks = Json::array();
-  for (const auto& task : heartbeat.tasks) {
-    tasks.push_back(
-        Json::array({task.id.job, task.id.task, task.attempt, static_cast<int>(task.state),
-                     static_cast<int>(task.cause), task.saved ? 1 : 0}));
-  }
+  for (const auto& task : heartbeat.tasks) tasks.push_back(encode_compact(task));
   return Json::array(
       {heartbeat.machine, heartbeat.address, heartbeat.type, heartbeat.zone, heartbeat.spot,
        heartbeat.incarnation, heartbeat.sequence, heartbeat.fencing_token,
@@ -18,105 +52,112 @@
        std::move(tasks)});
 }
 
-Heartbeat parse_short(const Json& data) {
-  Heartbeat heartbeat;
-  heartbeat.machine = data.at(0).get<std::string>();
-  heartbeat.address = data.at(1).get<std::string>();
-  heartbeat.type = data.at(2).get<std::string>();
-  heartbeat.zone = data.at(3).get<std::string>();
-  heartbeat.spot = data.at(4).get<bool>();
-  heartbeat.incarnation = data.at(5).get<std::uint64_t>();
-  heartbeat.sequence = data.at(6).get<std::uint64_t>();
-  heartbeat.fencing_token = data.at(7).get<std::uint64_t>();
-  if (!data.at(8).is_null()) heartbeat.reclaim_notice_s = data.at(8).get<double>();
-  for (const Json& task : data.at(9)) {
-    const auto state = task.at(3).get<unsigned>();
-    const auto cause = task.at(4).get<unsigned>();
-    if (state > static_cast<unsigned>(TaskState::exited) ||
-        cause > static_cast<unsigned>(ExitCause::unknown)) {
-      throw Malformed("a task in a short report has an unknown state or cause");
-    }
-    heartbeat.tasks.push_back({{task.at(0).get<std::string>(), task.at(1).get<std::uint32_t>()},
-                               task.at(2).get<std::uint64_t>(),
-                               static_cast<TaskState>(state),
-                               static_cast<ExitCause>(cause),
-                               task.at(5).get<int>() != 0});
+// Both throw Json::exception where a position is missing or of another kind.
+TaskStatus parse_compact_task(const Json& item) {
+  const auto state = item.at(state_at).get<unsigned>();
+  const auto cause = item.at(cause_at).get<unsigned>();
+  if (state > static_cast<unsigned>(TaskState::exited) ||
+      cause > static_cast<unsigned>(ExitCause::unknown)) {
+    throw Malformed(kCompact, "has a task of an unknown state or cause");
   }
+  return {{item.at(job_at).get<std::string>(), item.at(task_at).get<std::uint32_t>()},
+          item.at(attempt_at).get<std::uint64_t>(),
+          static_cast<TaskState>(state),
+          static_cast<ExitCause>(cause),
+          item.at(saved_at).get<int>() != 0};
+}
+
+Heartbeat parse_compact_heartbeat(const Json& item) {
+  Heartbeat heartbeat;
+  heartbeat.machine = item.at(machine_at).get<std::string>();
+  heartbeat.address = item.at(address_at).get<std::string>();
+  heartbeat.type = item.at(type_at).get<std::string>();
+  heartbeat.zone = item.at(zone_at).get<std::string>();
+  heartbeat.spot = item.at(spot_at).get<bool>();
+  heartbeat.incarnation = item.at(incarnation_at).get<std::uint64_t>();
+  heartbeat.sequence = item.at(sequence_at).get<std::uint64_t>();
+  heartbeat.fencing_token = item.at(fencing_token_at).get<std::uint64_t>();
+  const Json& reclaim_notice = item.at(reclaim_notice_at);
+  if (!reclaim_notice.is_null()) heartbeat.reclaim_notice_s = reclaim_notice.get<double>();
+  for (const Json& task : item.at(tasks_at)) heartbeat.tasks.push_back(parse_compact_task(task));
   return heartbeat;
 }
 
-}  // namespace
+Json encode(const RelayedHeartbeat& relayed) {
+  if (relayed.heartbeat) return Json::object({{kCompact, encode_compact(*relayed.heartbeat)}});
+  if (!relayed.payload.empty()) return Json::object({{kPayload, relayed.payload}});
+  return Json::object({{kMachine, relayed.machine},
+                       {kIncarnation, relayed.incarnation},
+                       {kSequence, relayed.sequence},
+                       {kBaseSequence, relayed.base_sequence}});
+}
 
-Json batch_to_json(const RelayBatch& batch) {
-  Json heartbeats = Json::array();
-  for (const auto& heartbeat : batch.heartbeats) {
-    if (heartbeat.heartbeat) {
-      heartbeats.push_back({{"short", encode_short(*heartbeat.heartbeat)}});
-    } else if (!heartbeat.payload.empty()) {
-      heartbeats.push_back({{"words", heartbeat.payload}});
-    } else {
-      heartbeats.push_back({{"machine", heartbeat.machine},
-                            {"session", heartbeat.incarnation},
-                            {"tick", heartbeat.sequence},
-                            {"base", heartbeat.base_sequence}});
+RelayedHeartbeat parse_relayed_heartbeat(const Json& item) {
+  RelayedHeartbeat relayed;
+  if (find(item, kCompact) != nullptr) {
+    try {
+      relayed.heartbeat = parse_compact_heartbeat(array(item, kCompact));
+    } catch (const Json::exception& error) {
+      throw Malformed(kCompact, std::string("is no compact heartbeat: ") + error.what());
     }
+  } else if (find(item, kPayload) != nullptr) {
+    relayed.payload = text(item, kPayload);
+  } else {
+    relayed.machine = text(item, kMachine);
+    relayed.incarnation = integer(item, kIncarnation);
+    relayed.sequence = integer(item, kSequence);
+    relayed.base_sequence = integer(item, kBaseSequence);
   }
-  return Json{
-      {"member", batch.member}, {"token", batch.fencing_token}, {"reports", std::move(heartbeats)}};
+  return relayed;
 }
 
-std::string encode_batch(const RelayBatch& batch) { return batch_to_json(batch).dump(); }
+}  // namespace
 
-RelayBatch parse_batch(const std::string& body) { return batch_from_json(parse_object(body)); }
+Json batch_to_json(const RelayBatch& batch) {
+  Json heartbeats = Json::array();
+  for (const auto& heartbeat : batch.heartbeats) heartbeats.push_back(encode(heartbeat));
+  return Json{{kMember, batch.member},
+              {kFencingToken, batch.fencing_token},
+              {kHeartbeats, std::move(heartbeats)}};
+}
 
 RelayBatch batch_from_json(const Json& json) {
-  RelayBatch batch{text(json, "member"), integer(json, "token"), {}};
-  for (const Json& item : array(json, "reports")) {
-    if (!item.is_object()) throw Malformed("reports must be a list of objects");
-    RelayedHeartbeat heartbeat;
-    if (find(item, "short") != nullptr) {
-      try {
-        heartbeat.heartbeat = parse_short(array(item, "short"));
-      } catch (const Json::exception& error) {
-        throw Malformed(std::string("a short report: ") + error.what());
-      }
-    } else if (find(item, "words") != nullptr) {
-      heartbeat.payload = text(item, "words");
-    } else {
-      heartbeat.machine = text(item, "machine");
-      heartbeat.incarnation = integer(item, "session");
-      heartbeat.sequence = integer(item, "tick");
-      heartbeat.base_sequence = integer(item, "base");
-    }
-    batch.heartbeats.push_back(std::move(heartbeat));
+  RelayBatch batch{text(json, kMember), integer(json, kFencingToken), {}};
+  for (const Json& item : array(json, kHeartbeats)) {
+    require_object(item, kHeartbeats);
+    batch.heartbeats.push_back(parse_relayed_heartbeat(item));
   }
   return batch;
 }
 
+std::string encode_batch(const RelayBatch& batch) { return batch_to_json(batch).dump(); }
+
+RelayBatch parse_batch(const std::string& body) { return batch_from_json(parse_object(body)); }
+
 std::string encode_batch_answers(const std::vector<RelayedAnswer>& answers) {
   Json list = Json::array();
   for (const auto& answer : answers) {
-    list.push_back({{"status", answer.status}, {"body", answer.body}});
+    list.push_back({{kStatus, answer.status}, {kBody, answer.body}});
   }
-  return Json{{"answers", std::move(list)}}.dump();
+  return Json{{kAnswers, std::move(list)}}.dump();
 }
 
 std::vector<RelayedAnswer> parse_batch_answers(const std::string& body) {
   const Json json = parse_object(body);
-  std::vector<RelayedAnswer> out;
-  for (const Json& item : array(json, "answers")) {
-    if (!item.is_object()) throw Malformed("answers must be a list of objects");
-    out.push_back({static_cast<int>(integer(item, "status")), text(item, "body")});
+  std::vector<RelayedAnswer> answers;
+  for (const Json& item : array(json, kAnswers)) {
+    require_object(item, kAnswers);
+    answers.push_back({static_cast<int>(integer(item, kStatus)), text(item, kBody)});
   }
-  return out;
+  return answers;
 }
 
 std::string encode_fencing_token(std::uint64_t fencing_token) {
-  return Json{{"token", fencing_token}}.dump();
+  return Json{{kFencingToken, fencing_token}}.dump();
 }
 
 std::uint64_t parse_fencing_token(const std::string& body) {
-  return integer(parse_object(body), "token");
+  return integer(parse_object(body), kFencingToken);
 }
 
 }  // namespace larkroad::protocol
--- a/src/protocol/worker_messages.cpp
+++ b/src/protocol/worker_messages.cpp
@@ -5,10 +5,12 @@
 #include <tuple>
 #include <utility>
 
+#include "protocol/wire_names.hpp"
+
 namespace larkroad::protocol {
 namespace {
 
-constexpr std::array<std::pair<const char*, TaskState>, 5> kStates{{
+constexpr std::array<std::pair<const char*, TaskState>, 5> kTaskStates{{
     {"fetching", TaskState::fetching},
     {"gathering", TaskState::waiting},
     {"running", TaskState::running},
@@ -16,7 +18,7 @@
     {"exited", TaskState::exited},
 }};
 
-constexpr std::array<std::pair<const char*, ExitCause>, 8> kCauses{{
+constexpr std::array<std::pair<const char*, ExitCause>, 8> kExitCauses{{
     {"done", ExitCause::done},
     {"stopped", ExitCause::stopped},
     {"mates_gone", ExitCause::mates_gone},
@@ -27,99 +29,108 @@
     {"unknown", ExitCause::unknown},
 }};
 
-template <typename Table>
-auto lookup(const Table& table, const std::string& name, const char* key) {
-  const auto value = find_named(table, name);
-  if (!value) throw Malformed(std::string(key) + " is unknown: " + name);
-  return *value;
+constexpr std::array<std::pair<const char*, CommandType>, 3> kCommandTypes{{
+    {"launch", CommandType::launch},
+    {"kill", CommandType::kill},
+    {"forget", CommandType::forget},
+}};
+
+// So that the number fits 32 bits; task numbers have far fewer digits.
+constexpr size_t kMaxTaskNumberDigits = 9;
+
+// A notice that has run out is negative.
+constexpr double kLeastReclaimNotice = -1e9;
+
+bool is_task_number(const std::string& digits) {
+  return !digits.empty() && digits.size() <= kMaxTaskNumberDigits &&
+         std::all_of(digits.begin(), digits.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
 
 TaskId parse_task_id(const std::string& text) {
   const auto slash = text.rfind('/');
-  if (slash == std::string::npos || slash == 0 || slash + 1 == text.size() ||
-      text.size() - slash > 10 ||
-      !std::all_of(text.begin() + static_cast<std::ptrdiff_t>(slash) + 1, text.end(),
-                   [](char c) { return c >= '0' && c <= '9'; })) {
-    throw Malformed("leg is not a task id");
+  const bool has_job = slash != std::string::npos && slash > 0;
+  const std::string number = has_job ? text.substr(slash + 1) : "";
+  if (!is_task_number(number)) throw Malformed(wire::kTaskId, "is not a task id");
+  return {text.substr(0, slash), static_cast<std::uint32_t>(std::stoul(number))};
+}
+
+TaskStatus parse_task_status(const Json& item) {
+  TaskStatus task;
+  task.id = parse_task_id(text(item, wire::kTaskId));
+  task.attempt = integer(item, wire::kAttempt);
+  task.state = named_value(kTaskStates, item, wire::kState);
+  if (task.state == TaskState::exited) {
+    task.cause = named_value(kExitCauses, item, wire::kExitCause);
   }
-  return {text.substr(0, slash), static_cast<std::uint32_t>(std::stoul(text.substr(slash + 1)))};
+  if (find(item, wire::kSaved) != nullptr) task.saved = boolean(item, wire::kSaved);
+  return task;
 }
 
-Json encode_calls(const std::vector<Command>& commands) {
-  Json calls = Json::array();
+Json encode_command_list(const std::vector<Command>& commands) {
+  Json list = Json::array();
   for (const auto& command : commands) {
-    Json call{{"leg", command.id.text()}, {"try", command.attempt}};
-    switch (command.type) {
-      case CommandType::launch:
-        call["call"] = "launch";
-        break;
-      case CommandType::kill:
-        call["call"] = "kill";
-        call["slackS"] = command.grace_s;
-        break;
-      case CommandType::forget:
-        call["call"] = "forget";
-        break;
-    }
-    calls.push_back(std::move(call));
+    Json item{{wire::kTaskId, command.id.text()},
+              {wire::kAttempt, command.attempt},
+              {wire::kCommandType, find_name(kCommandTypes, command.type)}};
+    if (command.type == CommandType::kill) item[wire::kGrace] = command.grace_s;
+    list.push_back(std::move(item));
   }
-  return calls;
+  return list;
 }
 
 }  // namespace
 
 const char* cause_name(ExitCause cause) {
-  for (const auto& [name, value] : kCauses) {
-    if (value == cause) return name;
-  }
-  return "none";
+  const char* name = find_name(kExitCauses, cause);
+  return name == nullptr ? "none" : name;
 }
 
 bool unchanged(const Heartbeat& a, const Heartbeat& b) {
-  const auto said = [](const Heartbeat& r) {
-    return std::tie(r.machine, r.incarnation, r.fencing_token, r.tasks, r.reclaim_notice_s,
-                    r.address, r.type, r.zone, r.spot);
+  const auto all_but_sequence = [](const Heartbeat& heartbeat) {
+    return std::tie(heartbeat.machine, heartbeat.incarnation, heartbeat.fencing_token,
+                    heartbeat.tasks, heartbeat.reclaim_notice_s, heartbeat.address, heartbeat.type,
+                    heartbeat.zone, heartbeat.spot);
   };
-  return said(a) == said(b);
+  return all_but_sequence(a) == all_but_sequence(b);
 }
 
 Heartbeat parse_heartbeat(const std::string& body) {
   const Json json = parse_object(body);
   Heartbeat heartbeat;
-  heartbeat.machine = text(json, "perch");
-  heartbeat.address = text(json, "address");
-  heartbeat.type = text(json, "breed");
-  heartbeat.zone = text(json, "yard");
-  heartbeat.spot = boolean(json, "loaners");
-  heartbeat.incarnation = integer(json, "flight");
-  heartbeat.sequence = integer(json, "tick");
-  heartbeat.fencing_token = integer(json, "baton");
-  if (find(json, "recallS") != nullptr) heartbeat.reclaim_notice_s = amount(json, "recallS", -1e9);
-  for (const Json& leg : array(json, "legs")) {
-    if (!leg.is_object()) throw Malformed("legs must be a list of objects");
-    TaskStatus task;
-    task.id = parse_task_id(text(leg, "leg"));
-    task.attempt = integer(leg, "try");
-    task.state = lookup(kStates, text(leg, "stage"), "stage");
-    if (task.state == TaskState::exited) task.cause = lookup(kCauses, text(leg, "cause"), "cause");
-    if (find(leg, "saved") != nullptr) task.saved = boolean(leg, "saved");
-    heartbeat.tasks.push_back(std::move(task));
+  heartbeat.machine = text(json, wire::kMachine);
+  heartbeat.address = text(json, wire::kAddress);
+  heartbeat.type = text(json, wire::kMachineType);
+  heartbeat.zone = text(json, wire::kZone);
+  heartbeat.spot = boolean(json, wire::kSpot);
+  heartbeat.incarnation = integer(json, wire::kIncarnation);
+  heartbeat.sequence = integer(json, wire::kSequence);
+  heartbeat.fencing_token = integer(json, wire::kFencingToken);
+  if (find(json, wire::kReclaimNotice) != nullptr) {
+    heartbeat.reclaim_notice_s = amount(json, wire::kReclaimNotice, kLeastReclaimNotice);
+  }
+  for (const Json& item : array(json, wire::kTasks)) {
+    require_object(item, wire::kTasks);
+    heartbeat.tasks.push_back(parse_task_status(item));
   }
   return heartbeat;
 }
 
 std::string encode_heartbeat_response(std::uint64_t fencing_token,
                                       const std::vector<Command>& commands) {
-  return Json{{"baton", fencing_token}, {"calls", encode_calls(commands)}}.dump();
+  return Json{{wire::kFencingToken, fencing_token},
+              {wire::kCommands, encode_command_list(commands)}}
+      .dump();
 }
 
 std::string encode_redirect(const std::string& leader) {
-  return leader.empty() ? "{}" : Json{{"home", leader}}.dump();
+  return leader.empty() ? "{}" : Json{{wire::kRedirectTo, leader}}.dump();
 }
 
 std::string encode_commands(std::uint64_t fencing_token, std::uint64_t incarnation,
                             const std::vector<Command>& commands) {
-  return Json{{"baton", fencing_token}, {"flight", incarnation}, {"calls", encode_calls(commands)}}
+  return Json{{wire::kFencingToken, fencing_token},
+              {wire::kIncarnation, incarnation},
+              {wire::kCommands, encode_command_list(commands)}}
       .dump();
 }
 
--- a/src/storage/records.cpp
+++ b/src/storage/records.cpp
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 
+#include "protocol/job_spec_record.hpp"
+
 namespace larkroad::storage {
 namespace {
 
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -1,9 +1,12 @@
+/// The messages of users, workers and the cloud, as they are on the wire.
 #include <gtest/gtest.h>
 
 #include "coordination/api/user_api.hpp"
 #include "protocol/cloud_messages.hpp"
 #include "protocol/job_messages.hpp"
+#include "protocol/job_spec_record.hpp"
 #include "protocol/relay_messages.hpp"
+#include "protocol/user_routes.hpp"
 #include "protocol/worker_messages.hpp"
 #include "support.hpp"
 
@@ -89,6 +92,47 @@
   }
 }
 
+TEST(Submission, MalformedNamesTheField) {
+  const struct {
+    const char* key;
+    const char* value;
+    const char* what;
+  } cases[] = {
+      {"ref", "\"000412\"", "ref is not a job id"},
+      {"lane", "\"\"", "lane has an impossible length"},
+      {"shape", "\"ring\"", "shape is unknown"},
+      {"rank", "\"high\"", "rank is unknown"},
+      {"legs", "0", "legs is out of range"},
+      {"legs", "4.0", "legs must be a whole number"},
+      {"breeds", "[1]", "breeds must be a list of strings"},
+      {"breeds", "[]", "breeds must not be empty"},
+      {"samePlace", "null", "samePlace is missing"},
+      {"dueS", "-5", "dueS is out of range"},
+  };
+  for (const auto& c : cases) {
+    Json json = submission();
+    json[c.key] = Json::parse(c.value);
+    try {
+      parse_submission(json);
+      ADD_FAILURE() << c.key << " = " << c.value;
+    } catch (const Malformed& error) {
+      EXPECT_EQ(error.field(), c.key);
+      EXPECT_STREQ(error.what(), c.what);
+    }
+  }
+}
+
+TEST(Submission, ContradictoryZonesAreNamedTogether) {
+  Json json = submission();
+  json["apart"] = true;
+  try {
+    parse_submission(json);
+    ADD_FAILURE();
+  } catch (const Malformed& error) {
+    EXPECT_STREQ(error.what(), "samePlace and apart contradict each other");
+  }
+}
+
 TEST(Submission, NeverRunnable) {
   Settings settings = testing::settings();
   settings.teams.push_back({"guests", 0, kNoLimit, 0, kNoLimit});
@@ -214,7 +258,7 @@
   }
 }
 
-TEST(RelayedReports, InShortSayTheSame) {
+TEST(RelayedHeartbeats, SayTheSameInCompactForm) {
   const Heartbeat heartbeat = parse_heartbeat(R"({"perch":"i-000231","address":"10.1.0.232:9000",
     "breed":"g8","yard":"a","loaners":true,"flight":3,"tick":88,"baton":41,"recallS":7.5,"legs":[
     {"leg":"job-000412/3","try":2,"stage":"running"},
@@ -244,7 +288,7 @@
   }
 }
 
-TEST(Reports, ReadsTasks) {
+TEST(Heartbeats, ReadsTasks) {
   const Heartbeat heartbeat = parse_heartbeat(R"({"perch":"i-000231","address":"10.1.0.232:9000",
     "breed":"g8","yard":"a","loaners":true,"flight":1,"tick":88,"baton":41,"recallS":7.5,
     "legs":[{"leg":"job-000412/3","try":2,"stage":"gathering"},
@@ -259,7 +303,7 @@
   EXPECT_TRUE(heartbeat.tasks[1].saved);
 }
 
-TEST(Reports, RefusesWhatIsMalformed) {
+TEST(Heartbeats, RefusesWhatIsMalformed) {
   const std::string head =
       R"({"perch":"i","address":"a:1","breed":"g","yard":"a","loaners":false,"flight":1,"tick":2,)";
   for (const char* rest : {
