--- a/src/coordination/api/request_forwarder.cpp
+++ b/src/coordination/api/request_forwarder.cpp
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "log.hpp"
-#include "protocol/job_messages.hpp"
+#include "protocol/user_routes.hpp"
 #include "protocol/peer_messages.hpp"
 
 namespace larkroad::coordination {
--- a/src/coordination/controller/controller.cpp
+++ b/src/coordination/controller/controller.cpp
@@ -11,6 +11,7 @@
 #include "protocol/job_messages.hpp"
 #include "protocol/peer_messages.hpp"
 #include "protocol/relay_messages.hpp"
+#include "protocol/user_routes.hpp"
 #include "protocol/worker_messages.hpp"
 
 namespace larkroad::coordination {
