--- a/src/coordination/cluster_state/cluster_state.cpp
+++ b/src/coordination/cluster_state/cluster_state.cpp
@@ -1,127 +1,19 @@
 #include "coordination/cluster_state/cluster_state.hpp"
 
 #include <algorithm>
-#include <cmath>
 
 namespace larkroad::coordination {
 namespace {
 
-// A replica of a service runs until its user cancels the job: for longer than anything is planned.
-constexpr Seconds kServiceRun = 1e7;
-// Amounts are decimals: sums of them are compared with this much leeway.
-constexpr double kRounding = 1e-6;
-// How much of a class's statistics the latest task makes up.
-constexpr double kLearning = 0.1;
-// Arrivals are counted over this many times what a cancellation may take: long against the tasks
-// of today's deployments, short against the day.
-constexpr double kMemoryRatio = 4;
-// How long completed tasks are gathered for one record, as a part of the report interval.
-constexpr double kGatherRatio = 1.0 / 4;
+// How long completed tasks are batched for one write, as a part of the heartbeat interval.
+constexpr double kBatchRatio = 1.0 / 4;
 
 }  // namespace
 
-Resources& Resources::operator+=(const Resources& o) {
-  cpus += o.cpus;
-  gpus += o.gpus;
-  memory_gb += o.memory_gb;
-  return *this;
-}
-
-Resources& Resources::operator-=(const Resources& o) {
-  cpus -= o.cpus;
-  gpus -= o.gpus;
-  memory_gb -= o.memory_gb;
-  return *this;
-}
-
-bool Resources::fits(const Resources& need) const {
-  return need.cpus <= cpus + kRounding && need.gpus <= gpus + kRounding &&
-         need.memory_gb <= memory_gb + kRounding;
-}
-
-std::uint32_t Resources::times(const Resources& need) const {
-  double most = protocol::kMaxTasksPerJob;
-  const auto part = [&most](double have, double each) {
-    if (each > 0) most = std::min(most, std::floor((have + kRounding) / each));
-  };
-  part(cpus, need.cpus);
-  part(gpus, need.gpus);
-  part(memory_gb, need.memory_gb);
-  return most <= 0 ? 0 : static_cast<std::uint32_t>(most);
-}
-
-Resources least_of(const Resources& a, const Resources& b) {
-  return {std::min(a.cpus, b.cpus), std::min(a.gpus, b.gpus), std::min(a.memory_gb, b.memory_gb)};
-}
-
-Resources needs_of(const JobSpec& spec) { return {spec.cpus, spec.gpus, spec.memory_gb}; }
-Resources capacity_of(const MachineType& type) { return {type.cpus, type.gpus, type.memory_gb}; }
-
-std::uint32_t Job::waiting() const {
-  if (cancelled || gang_aborting) return 0;
-  return spec.tasks - next_never_placed + static_cast<std::uint32_t>(requeued.size());
-}
-
-bool Job::succeeds_elsewhere_than(const std::string& machine) const {
-  if (!spec.is_service()) return done_count > 0;
-  return std::any_of(placements.begin(), placements.end(), [&](const auto& entry) {
-    return entry.second.proven && entry.second.machine != machine;
-  });
-}
-
-bool Job::started_elsewhere_than(const std::string& machine) const {
-  return started_machines.size() > started_machines.count(machine);
-}
-
-void Job::note_start(const std::string& machine) {
-  // Two tell for any machine whether there is another one.
-  if (started_machines.size() < 2) started_machines.insert(machine);
-}
-
-bool Job::is_finished() const {
-  return done_count == spec.tasks || (cancelled && placements.empty());
-}
-
-std::uint32_t Job::running() const {
-  std::uint32_t count = 0;
-  for (const auto& [task, placement] : placements) {
-    count += placement.stage == Placement::Stage::acknowledged &&
-             (placement.state == TaskState::running || placement.state == TaskState::saving);
-  }
-  return count;
-}
-
-Resources Machine::room() const {
-  Resources out = capacity;
-  out -= used;
-  return out;
-}
-
-bool Machine::usable(Seconds now, Seconds patience) const {
-  return now - last_worker_heartbeat_at <= patience && has_reported && identity_confirmed &&
-         unreachable_since < 0 && !lease_expired && !being_released && !quarantined &&
-         !reclaimed_at && now >= refused_until && !address.empty();
-}
-
-void Machine::touch_image(const std::string& image, double gb, double cache_gb, Seconds now) {
-  images_changed = !images.contains(image) || images_changed;
-  images[image] = {gb, now};
-  double total = 0;
-  for (const auto& [name, entry] : images) total += entry.first;
-  while (total > cache_gb && images.size() > 1) {
-    const auto oldest = std::min_element(
-        images.begin(), images.end(),
-        [](const auto& a, const auto& b) { return a.second.second < b.second.second; });
-    if (oldest->first == image) break;
-    total -= oldest->second.first;
-    images.erase(oldest);
-  }
-}
-
 void ClusterState::clear() {
   jobs_.clear();
   machines_.clear();
-  used_.clear();
+  used_by_team_.clear();
 }
 
 Job& ClusterState::add_job(const std::string& id, const storage::JobRecord& record,
@@ -141,9 +33,9 @@
     }
     job->next_never_placed = job->spec.tasks;
   }
-  auto& slot = jobs_[id];
-  slot = std::move(job);
-  return *slot;
+  std::unique_ptr<Job>& added = jobs_[id];
+  added = std::move(job);
+  return *added;
 }
 
 Job* ClusterState::job(const std::string& id) {
@@ -158,17 +50,9 @@
 
 void ClusterState::remove_job(const std::string& id) { jobs_.erase(id); }
 
-void ClusterState::load_done(Job& job,
-                             const std::vector<std::pair<std::uint32_t, std::uint32_t>>& ranges,
-                             std::uint32_t end) {
-  for (const auto& [from, to] : ranges) {
-    for (std::uint32_t task = from; task <= to && task < end; ++task) {
-      if (!job.done[task]) {
-        job.done[task] = true;
-        ++job.done_count;
-      }
-    }
-  }
+ClusterState::TaskRange ClusterState::tasks_of_shard(const Job& job, std::uint32_t shard) {
+  const std::uint32_t first = shard * job.tasks_per_shard;
+  return {first, std::min(first + job.tasks_per_shard, job.spec.tasks)};
 }
 
 void ClusterState::restore_placements(Job& job, std::uint32_t shard,
@@ -176,40 +60,64 @@
                                       std::uint64_t revision, std::uint64_t uncertain_fencing_token,
                                       Seconds now) {
   job.shards[shard] = {revision, record.attempt, false, 0};
-  const std::uint32_t first = shard * job.tasks_per_shard;
-  const std::uint32_t end = std::min(first + job.tasks_per_shard, job.spec.tasks);
+  const TaskRange range = tasks_of_shard(job, shard);
   // A replica of a service is never done, whatever a controller that took it for an array's task
   // has recorded.
-  if (!job.spec.is_service()) load_done(job, record.done, end);
-  for (const auto& placed : record.placed) {
-    if (placed.task >= end || job.done[placed.task]) continue;
-    Machine& m = machine(placed.machine);
-    m.incarnation = std::max(m.incarnation, placed.incarnation);
-    m.unresolved_launches[{{job.id(), placed.task}, placed.attempt}] = {uncertain_fencing_token,
-                                                                        false};
-    Placement& p = place(job, placed.task, m, placed.attempt, now);
-    p.incarnation = placed.incarnation;
-    p.stage = Placement::Stage::persisted;
-    p.recovered = true;
-    if (job.spec.is_gang()) job.gang_attempt = std::max(job.gang_attempt, placed.attempt);
+  if (!job.spec.is_service()) restore_done(job, record.done, range.end);
+  for (const storage::PlacedTask& placed : record.placed) {
+    if (placed.task >= range.end || job.done[placed.task]) continue;
+    restore_placement(job, placed, uncertain_fencing_token, now);
   }
-  // Chunks are written as they are needed, so every task up to this one may have been placed.
-  for (std::uint32_t task = job.next_never_placed; task < first; ++task) {
-    if (!job.done[task] && !job.placements.contains(task)) job.requeued.insert(task);
+  requeue_waiting(job, range);
+}
+
+void ClusterState::restore_done(Job& job,
+                                const std::vector<std::pair<std::uint32_t, std::uint32_t>>& ranges,
+                                std::uint32_t end) {
+  for (const auto& [from, to] : ranges) {
+    for (std::uint32_t task = from; task <= to && task < end; ++task) {
+      if (job.done[task]) continue;
+      job.done[task] = true;
+      ++job.done_count;
+    }
   }
-  for (std::uint32_t task = first; task < end; ++task) {
-    if (!job.done[task] && !job.placements.contains(task)) {
+}
+
+void ClusterState::restore_placement(Job& job, const storage::PlacedTask& placed,
+                                     std::uint64_t uncertain_fencing_token, Seconds now) {
+  Machine& on = machine(placed.machine);
+  on.incarnation = std::max(on.incarnation, placed.incarnation);
+  on.unresolved_launches[{{job.id(), placed.task}, placed.attempt}] = {uncertain_fencing_token,
+                                                                       false};
+  Placement& placement = place(job, placed.task, on, placed.attempt, now);
+  placement.incarnation = placed.incarnation;
+  placement.stage = Placement::Stage::persisted;
+  placement.recovered = true;
+  if (job.spec.is_gang()) job.gang_attempt = std::max(job.gang_attempt, placed.attempt);
+}
+
+// Brings `requeued` and `next_never_placed` in line with a shard that has just been restored.
+void ClusterState::requeue_waiting(Job& job, const TaskRange& shard) {
+  const auto waits = [&job](std::uint32_t task) {
+    return !job.done[task] && !job.placements.contains(task);
+  };
+  // Shards are written as they are needed, so every task up to this one may have been placed.
+  for (std::uint32_t task = job.next_never_placed; task < shard.first; ++task) {
+    if (waits(task)) job.requeued.insert(task);
+  }
+  for (std::uint32_t task = shard.first; task < shard.end; ++task) {
+    if (waits(task)) {
       job.requeued.insert(task);
     } else {
       job.requeued.erase(task);
     }
   }
-  job.next_never_placed = std::max(job.next_never_placed, end);
+  job.next_never_placed = std::max(job.next_never_placed, shard.end);
 }
 
 bool ClusterState::has_oversized_shards(const Job& job) const {
-  const auto together = std::min(job.tasks_per_shard, job.spec.tasks);
-  return together > storage::max_tasks_per_shard(settings_.lasting_store_limits().value_kb);
+  const auto tasks_in_record = std::min(job.tasks_per_shard, job.spec.tasks);
+  return tasks_in_record > storage::max_tasks_per_shard(settings_.lasting_store_limits().value_kb);
 }
 
 size_t ClusterState::record_bytes_left(const Job& job, std::uint32_t shard) const {
@@ -222,8 +130,7 @@
   storage::PlacementRecord record;
   const auto it = job.shards.find(shard);
   if (it != job.shards.end()) record.attempt = it->second.attempt;
-  const std::uint32_t first = shard * job.tasks_per_shard;
-  const std::uint32_t end = std::min(first + job.tasks_per_shard, job.spec.tasks);
+  const auto [first, end] = tasks_of_shard(job, shard);
   for (std::uint32_t task = first; task < end; ++task) {
     if (!job.done[task]) continue;
     if (!record.done.empty() && record.done.back().second + 1 == task) {
@@ -232,17 +139,17 @@
       record.done.emplace_back(task, task);
     }
   }
-  for (auto p = job.placements.lower_bound(first); p != job.placements.end() && p->first < end;
-       ++p) {
-    record.placed.push_back(
-        {p->first, p->second.attempt, p->second.machine, p->second.incarnation});
+  for (auto placed = job.placements.lower_bound(first); placed != job.placements.end(); ++placed) {
+    const auto& [task, placement] = *placed;
+    if (task >= end) break;
+    record.placed.push_back({task, placement.attempt, placement.machine, placement.incarnation});
   }
   return record;
 }
 
 Machine& ClusterState::machine(const std::string& name) {
-  auto [it, made] = machines_.try_emplace(name);
-  if (made) it->second.name = name;
+  auto [it, added] = machines_.try_emplace(name);
+  if (added) it->second.name = name;
   return it->second;
 }
 
@@ -265,37 +172,40 @@
 
 Placement& ClusterState::place(Job& job, std::uint32_t task, Machine& machine,
                                std::uint64_t attempt, Seconds now) {
-  Placement p;
-  p.task = task;
-  p.attempt = attempt;
-  p.machine = machine.name;
-  p.incarnation = machine.incarnation;
-  p.placed_at = now;
+  Placement placement;
+  placement.task = task;
+  placement.attempt = attempt;
+  placement.machine = machine.name;
+  placement.incarnation = machine.incarnation;
+  placement.placed_at = now;
   job.last_placed_at = now;
   if (job.requeued.erase(task) == 0 && task == job.next_never_placed) ++job.next_never_placed;
   PlacementShard& shard = job.shards[job.shard_of(task)];
   shard.attempt = std::max(shard.attempt, attempt);
-  machine.used += needs_of(job.spec);
-  machine.used_by_priority[static_cast<size_t>(job.spec.priority)] += needs_of(job.spec);
+  const Resources need = needs_of(job.spec);
+  machine.used += need;
+  machine.used_by_priority[static_cast<size_t>(job.spec.priority)] += need;
   machine.tasks.insert({job.id(), task});
-  used_[job.spec.team] += needs_of(job.spec);
-  return job.placements[task] = std::move(p);
+  used_by_team_[job.spec.team] += need;
+  return job.placements[task] = std::move(placement);
 }
 
-void ClusterState::release(Job& job, std::uint32_t task, Seconds now) {
+void ClusterState::remove_placement(Job& job, std::uint32_t task, Seconds now) {
   const auto it = job.placements.find(task);
   if (it == job.placements.end()) return;
-  if (Machine* m = find_machine(it->second.machine)) {
-    m->used -= needs_of(job.spec);
-    m->used_by_priority[static_cast<size_t>(job.spec.priority)] -= needs_of(job.spec);
-    m->tasks.erase({job.id(), task});
-    if (m->tasks.empty()) {
-      m->used = {};
-      m->used_by_priority = {};
-      m->idle_since = now;
+  const Resources need = needs_of(job.spec);
+  if (Machine* machine = find_machine(it->second.machine)) {
+    machine->used -= need;
+    machine->used_by_priority[static_cast<size_t>(job.spec.priority)] -= need;
+    machine->tasks.erase({job.id(), task});
+    if (machine->tasks.empty()) {
+      // What rounding has left of the sums goes.
+      machine->used = {};
+      machine->used_by_priority = {};
+      machine->idle_since = now;
     }
   }
-  used_[job.spec.team] -= needs_of(job.spec);
+  used_by_team_[job.spec.team] -= need;
   job.placements.erase(it);
   // The attempt is over with its last task, however that ended: some may be done, and the rest
   // lost with their machines.
@@ -306,67 +216,28 @@
 }
 
 void ClusterState::unplace(Job& job, std::uint32_t task, Seconds now) {
-  release(job, task, now);
+  remove_placement(job, task, now);
   job.requeued.insert(task);
   if (job.spec.is_service()) job.replica_lost_at = now;
 }
 
 void ClusterState::finish(Job& job, std::uint32_t task, Seconds now) {
-  release(job, task, now);
+  remove_placement(job, task, now);
   job.requeued.erase(task);
   if (job.done[task]) return;
   job.done[task] = true;
   ++job.done_count;
   job.unpersisted_done.insert(task);
-  // Completions of a job that goes on are gathered: one write then tells of several. A state may
-  // lag by 3 s; the job's last completion is not held up by this.
-  job.shards[job.shard_of(task)].write(now + settings_.heartbeat_interval_s * kGatherRatio);
+  // Completions of a job that goes on are batched: one write then records several. The state that
+  // users see may lag by 3 s; the job's last completion is not delayed by this.
+  job.shards[job.shard_of(task)].write(now + settings_.heartbeat_interval_s * kBatchRatio);
   job.failures = 0;
   job.failed_machines.clear();
 }
 
 Resources ClusterState::used_by(const std::string& team) const {
-  const auto it = used_.find(team);
-  return it == used_.end() ? Resources{} : it->second;
-}
-
-Seconds ClusterState::expected_run(const JobSpec& spec) const {
-  if (spec.is_service()) return kServiceRun;
-  const auto it = classes_.find(spec.job_class);
-  return spec.estimate_s * (it == classes_.end() ? 1 : it->second.run_ratio);
-}
-
-void ClusterState::learn_run(const JobSpec& spec, Seconds took) {
-  ClassStatistics& statistics = classes_[spec.job_class];
-  statistics.mean_run = statistics.mean_run == 0
-                            ? took
-                            : statistics.mean_run + (took - statistics.mean_run) * kLearning;
-  if (spec.estimate_s <= 0) return;
-  // A task that went on from a checkpoint, or a wild estimate, must not turn the class.
-  const double ratio = std::clamp(took / spec.estimate_s, 0.25, 4.0);
-  statistics.run_ratio += (ratio - statistics.run_ratio) * kLearning;
-}
-
-Seconds ClusterState::memory_s() const { return settings_.cancellation_limit_s * kMemoryRatio; }
-
-void ClusterState::learn_arrival(const Job& job) {
-  ClassStatistics& statistics = classes_[job.spec.job_class];
-  // Jobs come in any order when they are read back; an older one counts by its age.
-  const Seconds to = std::max(statistics.counted_at, job.submitted);
-  const double fade = std::exp(-(to - statistics.counted_at) / memory_s());
-  const double weight = std::exp(-(to - job.submitted) / memory_s());
-  const double size = job.spec.tasks;
-  statistics.tasks = statistics.tasks * fade + size * weight;
-  statistics.squares = statistics.squares * fade + size * size * weight;
-  for (auto& [team, tasks] : statistics.by_team) tasks *= fade;
-  statistics.by_team[job.spec.team] += size * weight;
-  if (job.submitted >= statistics.counted_at) statistics.latest = job.spec;
-  statistics.counted_at = to;
-}
-
-double ClusterState::arrival_rate(const ClassStatistics& statistics, Seconds now) const {
-  const Seconds age = std::max(0.0, now - statistics.counted_at);
-  return statistics.tasks * std::exp(-age / memory_s()) / memory_s();
+  const auto it = used_by_team_.find(team);
+  return it == used_by_team_.end() ? Resources{} : it->second;
 }
 
 void ClusterState::set_types(std::vector<MachineType> types) {
@@ -383,30 +254,4 @@
   return nullptr;
 }
 
-Seconds fetch_time(const JobSpec& spec, const MachineType& type) {
-  return type.fetch_gb_per_s > 0 ? spec.image_gb / type.fetch_gb_per_s : 0;
-}
-
-Seconds soonest_start(const ClusterState& cluster, const JobSpec& spec, bool boots) {
-  Seconds soonest = -1;
-  for (const auto& type : cluster.types()) {
-    if (type.zones.empty() || !allows(spec, type, spec.zone.value_or(type.zones.front()), false)) {
-      continue;
-    }
-    const Seconds start = (boots ? type.boot_s : 0) + fetch_time(spec, type);
-    if (soonest < 0 || start < soonest) soonest = start;
-  }
-  return soonest;
-}
-
-bool allows(const JobSpec& spec, const MachineType& type, const std::string& zone, bool spot) {
-  if (spot && !spec.spot) return false;
-  if (spec.zone && *spec.zone != zone) return false;
-  if (spec.types &&
-      std::find(spec.types->begin(), spec.types->end(), type.name) == spec.types->end()) {
-    return false;
-  }
-  return capacity_of(type).fits(needs_of(spec));
-}
-
 }  // namespace larkroad::coordination
--- a/src/coordination/scheduling/forecast.cpp
+++ b/src/coordination/scheduling/forecast.cpp
@@ -2,58 +2,91 @@
 
 #include <algorithm>
 #include <cmath>
+#include <optional>
 
 namespace larkroad::coordination {
 namespace {
 
-// The number that a Poisson-like count with this mean and spread exceeds with chance `miss`.
+// No objective is forecast to be missed more rarely than this.
+constexpr double kLeastMissChance = 1e-3;
+
+// The number that a Poisson-like count with this mean and variance exceeds with chance `miss`.
 double quantile(double mean, double variance, double miss) {
   // An upper bound of the normal quantile: generous, and without a table.
-  return mean + std::sqrt(2 * std::log(1 / std::max(miss, 1e-3)) * variance);
+  return mean + std::sqrt(2 * std::log(1 / std::max(miss, kLeastMissChance)) * variance);
 }
 
-// The largest share that an aim of the class asks for which leaves no time to boot a machine; 0:
-// there is none.
-double pressing_share(const ClusterState& cluster, const std::string& job_class, Seconds boots) {
+// The largest share of tasks for which an objective of the class asks for a start in less time than
+// a new machine needs; 0: no objective does.
+double share_without_boot_time(const ClusterState& cluster, const std::string& job_class,
+                               Seconds new_machine_start) {
   double share = 0;
-  for (const auto& aim : cluster.settings().objectives) {
-    if (aim.job_class != job_class) continue;
-    const bool pressing =
-        (aim.kind == "wait" && aim.within_s < boots) || (aim.kind == "up" && aim.after_s < boots);
-    if (pressing) share = std::max(share, aim.share);
+  for (const auto& objective : cluster.settings().objectives) {
+    if (objective.job_class != job_class) continue;
+    const bool urgent = (objective.kind == "wait" && objective.within_s < new_machine_start) ||
+                        (objective.kind == "up" && objective.after_s < new_machine_start);
+    if (urgent) share = std::max(share, objective.share);
   }
   return share;
 }
 
-// Of a class that ends by itself, what is there on average makes room for what comes. Replicas
-// stay, so room is needed for what comes while another machine boots.
-Seconds time_in_room(const ClusterState& cluster, const ClassStatistics& statistics,
-                     Seconds boots) {
-  if (statistics.latest.is_service()) return boots;
-  return statistics.mean_run > 0 ? statistics.mean_run : cluster.expected_run(statistics.latest);
+// The time over which arrivals add up to the capacity that the class needs. Where tasks end by
+// themselves, those there on average free what the next ones need. Replicas stay, so capacity is
+// needed for those that arrive while another machine boots.
+Seconds occupancy_time(const ClusterState& cluster, const ClassStatistics& statistics,
+                       Seconds new_machine_start) {
+  if (statistics.latest.is_service()) return new_machine_start;
+  return statistics.mean_run_time.value_or(cluster.expected_run(statistics.latest));
 }
 
-// The most replicas of the class on one machine: what its loss would ask room for at once.
+// The most replicas of the class on one machine: what its loss would ask for at once.
 double most_on_one_machine(const ClusterState& cluster, const std::string& job_class) {
   std::map<std::string, double> by_machine;
   double most = 0;
   for (const auto& [id, job] : cluster.jobs()) {
     if (job->spec.job_class != job_class) continue;
     for (const auto& [task, placement] : job->placements) {
-      most = std::max(most, by_machine[placement.machine] += 1);
+      double& replicas = by_machine[placement.machine];
+      replicas += 1;
+      most = std::max(most, replicas);
     }
   }
   return most;
 }
 
-void add_present(const ClusterState& cluster, const std::string& job_class, Forecast& out) {
+void add_current(const ClusterState& cluster, const std::string& job_class, Forecast& out) {
   for (const auto& [id, job] : cluster.jobs()) {
     if (job->spec.job_class != job_class) continue;
-    double there = job->waiting();
-    if (!job->spec.is_service()) there += static_cast<double>(job->placements.size());
-    out.current += there;
-    out.current_by_team[job->spec.team] += there;
+    double tasks = job->waiting();
+    if (!job->spec.is_service()) tasks += static_cast<double>(job->placements.size());
+    out.current += tasks;
+    out.current_by_team[job->spec.team] += tasks;
+  }
+}
+
+// The forecast for one class; none when no objective of it needs one.
+std::optional<Forecast> forecast_class(const ClusterState& cluster, const std::string& name,
+                                       const ClassStatistics& statistics, Seconds now) {
+  const JobSpec& spec = statistics.latest;
+  const auto new_machine_start = shortest_start_time(cluster.types(), spec, StartsOn::new_machine);
+  if (!new_machine_start) return std::nullopt;
+  const double share = share_without_boot_time(cluster, name, *new_machine_start);
+  if (share <= 0 || statistics.weighted_tasks <= 0) return std::nullopt;
+
+  Forecast out;
+  out.spec = &spec;
+  const double mean = cluster.arrival_rate(statistics, now) *
+                      occupancy_time(cluster, statistics, *new_machine_start);
+  // Tasks of one job arrive together, which raises the variance of how many are there.
+  const double mean_batch = statistics.weighted_squares / statistics.weighted_tasks;
+  out.wanted = quantile(mean, mean * mean_batch, 1 - share);
+  for (const auto& [team, tasks] : statistics.weighted_tasks_by_team) {
+    const double team_mean = mean * tasks / statistics.weighted_tasks;
+    out.wanted_by_team[team] = quantile(team_mean, team_mean * mean_batch, 1 - share);
   }
+  if (spec.is_service()) out.wanted += most_on_one_machine(cluster, name);
+  add_current(cluster, name, out);
+  return out;
 }
 
 }  // namespace
@@ -61,24 +94,9 @@
 std::vector<Forecast> forecast(const ClusterState& cluster, Seconds now) {
   std::vector<Forecast> out;
   for (const auto& [name, statistics] : cluster.classes()) {
-    const JobSpec& spec = statistics.latest;
-    const Seconds boots = soonest_start(cluster, spec, true);
-    const double share = pressing_share(cluster, name, boots);
-    if (share <= 0 || statistics.tasks <= 0) continue;
-    Forecast f;
-    f.spec = &spec;
-    const double mean =
-        cluster.arrival_rate(statistics, now) * time_in_room(cluster, statistics, boots);
-    // Jobs of many tasks come in lumps, which spreads the number that is there.
-    const double lump = statistics.squares / statistics.tasks;
-    f.wanted = quantile(mean, mean * lump, 1 - share);
-    for (const auto& [team, tasks] : statistics.by_team) {
-      const double part = mean * tasks / statistics.tasks;
-      f.wanted_by_team[team] = quantile(part, part * lump, 1 - share);
+    if (auto expected = forecast_class(cluster, name, statistics, now)) {
+      out.push_back(std::move(*expected));
     }
-    if (spec.is_service()) f.wanted += most_on_one_machine(cluster, name);
-    add_present(cluster, name, f);
-    out.push_back(std::move(f));
   }
   return out;
 }
--- a/src/coordination/scheduling/job_queue.cpp
+++ b/src/coordination/scheduling/job_queue.cpp
@@ -354,7 +354,9 @@
     if (job->placements.empty() && !waits) continue;
     // A place is taken from the fetch of the image on.
     const Seconds running = cluster.expected_run(job->spec);
-    const Seconds run = running + std::max(0.0, soonest_start(cluster, job->spec, false));
+    const Seconds run =
+        running +
+        shortest_start_time(cluster.types(), job->spec, StartsOn::running_machine).value_or(0);
     // Before any machine is known the team's limit alone tells.
     const double of_limit = capacity.part_of_limit(job->spec);
     const double of_fleet = capacity.known() ? capacity.part_of_fleet(job->spec) : of_limit;
