--- a/src/coordination/leader/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -31,8 +31,8 @@
       election_(election),
       catalog_(catalog),
       settings_(settings),
-      scope_(clock),
       transaction_changes_(settings.lasting_store_limits().max_transaction_changes),
+      scope_(clock),
       cluster_(settings),
       relay_assignment_(settings) {}
 
