--- a/src/coordination/leader/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -34,10 +34,12 @@
       transaction_changes_(settings.lasting_store_limits().max_transaction_changes),
       scope_(clock),
       cluster_(settings),
-      relay_assignment_(settings) {}
+      relay_assignment_(settings),
+      command_dispatcher_(clock, client, cluster_, settings, command_dispatcher_callbacks()) {}
 
 void Leader::begin(bool spread) {
   scope_.restart();
+  command_dispatcher_.restart();
   relay_assignment_.clear(spread);
   ready_ = false;
   loading_ = true;
@@ -60,12 +62,8 @@
   plan_armed_ = false;
   plan_from_ = 0;
   dropping_ = false;
-  queued_commands_.clear();
-  sending_armed_ = false;
   lag_.reset();
   next_periodic_run_ = kNoLimit;
-  fence_wanted_ = false;
-  fenced_at_ = begun_at_;
   watched_to_ = 0;
   cluster_.set_types(catalog_.types());
   load_jobs("");
@@ -73,6 +71,7 @@
 
 void Leader::end() {
   scope_.restart();
+  command_dispatcher_.restart();
   ready_ = false;
   loading_ = false;
   cluster_.clear();
@@ -113,11 +112,7 @@
     persist(*job);
     if (!job->write_in_flight) shrink_shards(*job);
   }
-  if (fence_wanted_ && now - fenced_at_ > settings_.lease_s / 4) {
-    fence_wanted_ = false;
-    fenced_at_ = now;
-    election_.raise_fencing_token();
-  }
+  command_dispatcher_.raise_fencing_token_if_due();
   if (!gang_reservations_.all().empty() || plan_from_ != 0) request_plan();
   for (const auto& [id, job] : cluster_.jobs()) {
     if (job->waiting() > 0) {
--- a/src/coordination/leader/leader.hpp
+++ b/src/coordination/leader/leader.hpp
@@ -17,6 +17,7 @@
 #include "coordination/scaling/autoscaler.hpp"
 #include "coordination/scaling/machine_catalog.hpp"
 #include "coordination/scheduling/scheduler.hpp"
+#include "coordination/workers/command_dispatcher.hpp"
 #include "protocol/relay_messages.hpp"
 #include "protocol/worker_messages.hpp"
 #include "storage/key_value_client.hpp"
@@ -62,8 +63,6 @@
   std::unordered_map<std::string, UserApi::Progress> progress() const;
 
  private:
-  using Commands = std::vector<protocol::Command>;
-
   // Loops and retries, as a part of the workers' report interval.
   static constexpr double kRetryRatio = 1.0 / 10;
 
@@ -113,18 +112,13 @@
   double grace(const Job& job) const;
   void stop(Job& job, Placement& placement, double grace_s);
   void abort_gang_attempt(Job& job, const std::string& why);
-  // Commands straight to a worker. Those for one machine that come within a moment go in one call.
-  void queue_commands(const std::string& machine, const Commands& commands);
-  void send_queued_commands();
-  void drop_stale_launches(Machine& machine, Commands& commands);
-  void send_commands(const std::string& machine, const Commands& commands);
-  void commands_answered(const std::string& machine, const Commands& commands,
-                         transport::Outcome outcome, const transport::Response& response);
-  void settle_launches(Machine& machine, const Commands& commands, transport::Outcome outcome,
-                       int status);
-  void launch(Job& job, const std::vector<std::uint32_t>& tasks);
-  void inspect(Machine& machine);
-  void want_fence(const UnresolvedLaunch& doubt);
+  // Short names for what the other parts of the leader call.
+  void launch(Job& job, const std::vector<std::uint32_t>& tasks) {
+    command_dispatcher_.launch(job, tasks);
+  }
+  void inspect(Machine& machine) { command_dispatcher_.query_status(machine); }
+  CommandDispatcher::Callbacks command_dispatcher_callbacks();
+  void command_unanswered(Machine& machine);
   void suspect_unreachable(Machine& machine);
   void reached_again(Machine& machine);
   void check_unreachable_machines();
@@ -185,15 +179,6 @@
   bool plan_armed_ = false;
   size_t plan_from_ = 0;
   Seconds plan_next_ = 0;  // no round before this
-  bool fence_wanted_ = false;
-  Seconds fenced_at_ = 0;
-  // Commands that are about to be sent, by machine, and the session that they are for.
-  struct QueuedCommands {
-    std::uint64_t incarnation = 0;
-    Commands commands;
-  };
-  std::map<std::string, QueuedCommands> queued_commands_;
-  bool sending_armed_ = false;
   // How late the loop of ticks runs: what the process is behind with its work.
   LagMeter lag_;
   Seconds next_periodic_run_ = 0;
@@ -203,10 +188,12 @@
     Seconds planning_time = 0;
     Seconds fleet_time = 0;
     size_t heartbeats = 0;
-    size_t direct_calls = 0;
     size_t reported_tasks = 0;
   };
   Activity activity_;
+
+  // The workers' side.
+  CommandDispatcher command_dispatcher_;
 };
 
 }  // namespace larkroad::coordination
--- a/src/coordination/leader/leader_cloud.cpp
+++ b/src/coordination/leader/leader_cloud.cpp
@@ -99,7 +99,7 @@
   spdlog::debug(
       "activity: {} planning rounds {:.1f} ms, fleet {:.1f} ms, {} reports of {} tasks, {} calls",
       activity_.planning_rounds, activity_.planning_time * 1e3, activity_.fleet_time * 1e3,
-      activity_.heartbeats, activity_.reported_tasks, activity_.direct_calls);
+      activity_.heartbeats, activity_.reported_tasks, command_dispatcher_.take_sent_calls());
   activity_ = {};
 }
 
--- a/src/coordination/leader/leader_workers.cpp
+++ b/src/coordination/leader/leader_workers.cpp
@@ -12,12 +12,6 @@
 using protocol::CommandType;
 using protocol::ExitCause;
 
-// A worker gives up on an answer after 4 s; so does a direct command, in reports.
-constexpr double kDirectRatio = 1.5;
-// Commands for one machine are gathered for this part of the report interval. Each call costs the
-// leader as much as a report, and one job's room is often made by stopping a dozen tasks of a
-// machine.
-constexpr double kGatherRatio = 1.0 / 200;
 // Tasks that fail on a machine, with none that succeeds, before it is put aside; and the evidence
 // that the jobs of these must give together.
 constexpr int kMachineFailures = 3;
@@ -52,6 +46,20 @@
 
 }  // namespace
 
+CommandDispatcher::Callbacks Leader::command_dispatcher_callbacks() {
+  return {
+      .leads = [this] { return election_.leads(); },
+      .fencing_token = [this] { return election_.fencing_token(); },
+      .raise_fencing_token = [this] { election_.raise_fencing_token(); },
+      .superseded = [this](std::uint64_t token) { election_.superseded(token); },
+      .process_heartbeat =
+          [this](const protocol::Heartbeat& heartbeat) { return process(heartbeat, From::call); },
+      .machine_answered = [this](Machine& machine) { reached_again(machine); },
+      .machine_unanswered = [this](Machine& machine) { command_unanswered(machine); },
+      .request_plan = [this] { request_plan(); },
+  };
+}
+
 transport::Response Leader::handle_heartbeat(const protocol::Heartbeat& heartbeat,
                                              const std::string& via, RelayRoute route) {
   const Seconds now = clock_.now();
@@ -139,7 +147,7 @@
   return out;
 }
 
-Leader::Commands Leader::process(const protocol::Heartbeat& heartbeat, From from) {
+Commands Leader::process(const protocol::Heartbeat& heartbeat, From from) {
   ++activity_.heartbeats;
   activity_.reported_tasks += heartbeat.tasks.size();
   if (removed_machines_.contains(heartbeat.machine)) return {};
@@ -292,7 +300,7 @@
                          !job->unpersisted_done.contains(task.id.task);
     if (const auto doubt = machine.unresolved_launches.find({task.id, task.attempt});
         doubt != machine.unresolved_launches.end()) {
-      if (doubt->second.answer_to == 0) want_fence(doubt->second);
+      if (doubt->second.answer_to == 0) command_dispatcher_.require_fencing_of(doubt->second);
     } else if (durable && may_forget(machine, task)) {
       commands.push_back({CommandType::forget, task.id, task.attempt, 0});
     }
@@ -344,7 +352,7 @@
   const auto it = machine.direct_launches.find({task.id, task.attempt});
   if (it == machine.direct_launches.end()) return true;
   if (it->second >= machine.seen_fencing_token) {
-    if (++machine.retained_exits > kKeptMost) fence_wanted_ = true;
+    if (++machine.retained_exits > kKeptMost) command_dispatcher_.require_fencing();
     return false;
   }
   machine.direct_launches.erase(it);
@@ -476,7 +484,7 @@
   if (placement.stopping || job.cancelled) {
     if (in_doubt) {
       // A launch may still arrive: a higher token closes the door, once the worker has seen it.
-      if (!doubt->second.pending) want_fence(doubt->second);
+      if (!doubt->second.pending) command_dispatcher_.require_fencing_of(doubt->second);
       return;
     }
     task_gone(job, placement.task, "not on its machine");
@@ -500,12 +508,6 @@
   commands.push_back({CommandType::launch, key.first, placement.attempt, 0});
 }
 
-// A higher token closes the door on a launch in doubt once the worker has seen it. Raising it again
-// for a worker that has not seen the last one would help nobody.
-void Leader::want_fence(const UnresolvedLaunch& doubt) {
-  if (doubt.fencing_token >= election_.fencing_token()) fence_wanted_ = true;
-}
-
 // Nothing seems to reach this machine, though its reports come. Nothing more is placed there until
 // it has answered; see scale for what becomes of it if it never does.
 void Leader::suspect_unreachable(Machine& machine) {
@@ -514,6 +516,13 @@
   spdlog::info("machine {} reports, but does not seem to hear", machine.name);
 }
 
+// A call that is not answered, to a machine that sent a heartbeat a moment ago.
+void Leader::command_unanswered(Machine& machine) {
+  if (machine.last_heartbeat_at > clock_.now() - 2 * settings_.heartbeat_interval_s) {
+    suspect_unreachable(machine);
+  }
+}
+
 void Leader::reached_again(Machine& machine) {
   machine.identity_confirmed = true;
   if (machine.unreachable_since < 0) return;
@@ -529,8 +538,9 @@
   Machine* machine = cluster_.find_machine(placement.machine);
   if (machine == nullptr || machine->address.empty()) return;
   placement.stop_sent = now;
-  queue_commands(placement.machine,
-                 {{CommandType::kill, {job.id(), placement.task}, placement.attempt, grace_s}});
+  command_dispatcher_.queue(
+      placement.machine,
+      {{CommandType::kill, {job.id(), placement.task}, placement.attempt, grace_s}});
 }
 
 // Long enough to save, with a report's worth to spare for a slow machine.
@@ -538,163 +548,6 @@
   return job.spec.save_s + settings_.heartbeat_interval_s;
 }
 
-void Leader::launch(Job& job, const std::vector<std::uint32_t>& tasks) {
-  std::map<std::string, Commands> by_machine;
-  for (const auto task : tasks) {
-    Placement& placement = job.placements.at(task);
-    Machine* machine = cluster_.find_machine(placement.machine);
-    if (machine == nullptr || machine->incarnation != placement.incarnation ||
-        machine->lease_expired) {
-      // Its machine's session ended while the record was written; nothing was sent.
-      cluster_.unplace(job, task, clock_.now());
-      request_plan();
-      continue;
-    }
-    placement.stage = Placement::Stage::dispatched;
-    machine->unresolved_launches[{{job.id(), task}, placement.attempt}] = {
-        election_.fencing_token(), true};
-    machine->direct_launches[{{job.id(), task}, placement.attempt}] = election_.fencing_token();
-    by_machine[placement.machine].push_back(
-        {CommandType::launch, {job.id(), task}, placement.attempt, 0});
-  }
-  for (const auto& [machine, commands] : by_machine) queue_commands(machine, commands);
-}
-
-void Leader::queue_commands(const std::string& name, const Commands& commands) {
-  const Machine& machine = *cluster_.find_machine(name);
-  QueuedCommands& queued = queued_commands_[name];
-  if (queued.incarnation != machine.incarnation) queued = {machine.incarnation, {}};
-  queued.commands.insert(queued.commands.end(), commands.begin(), commands.end());
-  if (sending_armed_) return;
-  sending_armed_ = true;
-  scope_.after(settings_.heartbeat_interval_s * kGatherRatio, [this] {
-    sending_armed_ = false;
-    send_queued_commands();
-  });
-}
-
-void Leader::send_queued_commands() {
-  const auto queued = std::move(queued_commands_);
-  queued_commands_.clear();
-  for (const auto& [name, waiting] : queued) {
-    Machine* machine = cluster_.find_machine(name);
-    // What was meant for a session that is over must not reach the next one.
-    if (machine == nullptr || machine->incarnation != waiting.incarnation) continue;
-    Commands commands = waiting.commands;
-    drop_stale_launches(*machine, commands);
-    for (const auto& command : commands) {
-      if (command.type != CommandType::launch) continue;
-      // It goes under the present token, which may have been raised since it was queued.
-      const auto key = std::make_pair(command.id, command.attempt);
-      machine->unresolved_launches[key] = {election_.fencing_token(), true};
-      machine->direct_launches[key] = election_.fencing_token();
-    }
-    if (!commands.empty()) send_commands(name, commands);
-  }
-}
-
-// Leaves out launches of what has lost its place since they were queued: it may be on its way to
-// another machine. Past its lease the leader starts nothing at all. Neither was sent, so nothing of
-// it is in doubt; a task that still has its place is found absent later and launched by an answer
-// to a report.
-void Leader::drop_stale_launches(Machine& machine, Commands& commands) {
-  const auto stale = [&](const Command& command) {
-    if (command.type != CommandType::launch) return false;
-    if (!election_.leads()) return true;
-    const Job* job = cluster_.job(command.id.job);
-    if (job == nullptr) return true;
-    const auto it = job->placements.find(command.id.task);
-    return it == job->placements.end() || it->second.machine != machine.name ||
-           it->second.attempt != command.attempt || it->second.incarnation != machine.incarnation;
-  };
-  for (const auto& command : commands) {
-    if (!stale(command)) continue;
-    machine.unresolved_launches.erase({command.id, command.attempt});
-    machine.direct_launches.erase({command.id, command.attempt});
-  }
-  std::erase_if(commands, stale);
-}
-
-void Leader::send_commands(const std::string& name, const Commands& commands) {
-  const Machine& machine = *cluster_.find_machine(name);
-  ++activity_.direct_calls;
-  transport::Request request{
-      "POST", protocol::kCommandsPath,
-      protocol::encode_commands(election_.fencing_token(), machine.incarnation, commands)};
-  client_.call(
-      machine.address, std::move(request), settings_.heartbeat_interval_s * kDirectRatio,
-      scope_.wrap([this, name, commands](transport::Outcome outcome, transport::Response response) {
-        commands_answered(name, commands, outcome, response);
-      }));
-}
-
-void Leader::settle_launches(Machine& machine, const Commands& commands, transport::Outcome outcome,
-                             int status) {
-  const bool settled = outcome == transport::Outcome::not_sent ||
-                       (outcome == transport::Outcome::answered &&
-                        (status == 200 || status == 409 || status == 400));
-  for (const auto& command : commands) {
-    if (command.type != CommandType::launch) continue;
-    const auto doubt = machine.unresolved_launches.find({command.id, command.attempt});
-    if (doubt == machine.unresolved_launches.end()) continue;
-    if (settled) {
-      machine.unresolved_launches.erase(doubt);
-    } else {
-      doubt->second.pending = false;
-    }
-  }
-}
-
-void Leader::commands_answered(const std::string& name, const Commands& commands,
-                               transport::Outcome outcome, const transport::Response& response) {
-  Machine* machine = cluster_.find_machine(name);
-  if (machine == nullptr) return;
-  settle_launches(*machine, commands, outcome, response.status);
-  const bool answered =
-      outcome == transport::Outcome::answered && (response.status == 200 || response.status == 409);
-  if (!answered) {
-    spdlog::debug("machine {} gave no answer to a command", name);
-    if (machine->last_heartbeat_at > clock_.now() - 2 * settings_.heartbeat_interval_s)
-      suspect_unreachable(*machine);
-    return;
-  }
-  reached_again(*machine);
-  try {
-    const auto heartbeat = protocol::parse_heartbeat(response.body);
-    if (heartbeat.fencing_token > election_.fencing_token()) {
-      election_.superseded(heartbeat.fencing_token);
-      return;
-    }
-    // Commands that follow from this wait for the worker's own report.
-    Commands stops = process(heartbeat, From::call);
-    std::erase_if(stops, [](const Command& command) { return command.type != CommandType::kill; });
-    if (!stops.empty() && response.status == 200) queue_commands(name, stops);
-  } catch (const std::exception& error) {
-    spdlog::error("machine {}: {}", name, error.what());
-  }
-}
-
-void Leader::inspect(Machine& machine) {
-  machine.inspected_at = clock_.now();
-  client_.call(machine.address, {"GET", protocol::kInspectPath, ""}, settings_.heartbeat_interval_s,
-               scope_.wrap([this, name = machine.name](transport::Outcome outcome,
-                                                       transport::Response response) {
-                 if (outcome != transport::Outcome::answered || response.status != 200) return;
-                 if (Machine* there = cluster_.find_machine(name)) reached_again(*there);
-                 try {
-                   const auto heartbeat = protocol::parse_heartbeat(response.body);
-                   if (heartbeat.fencing_token > election_.fencing_token()) {
-                     election_.superseded(heartbeat.fencing_token);
-                     return;
-                   }
-                   process(heartbeat, From::call);
-                   request_plan();
-                 } catch (const std::exception& error) {
-                   spdlog::error("machine {}: {}", name, error.what());
-                 }
-               }));
-}
-
 void Leader::drain(Machine& machine, double reclaim_notice_s) {
   const Seconds now = clock_.now();
   machine.reclaimed_at = now + reclaim_notice_s;
