--- a/src/coordination/leader/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -7,8 +7,6 @@
 namespace larkroad::coordination {
 namespace {
 
-// Steady clocks drift apart by 0.05%; twice that is allowed for.
-constexpr double kDrift = 0.001;
 // The room of a planning round for what else the process does: a part of a tick.
 constexpr double kPlanBudgetRatio = 1.0 / 20;
 // Reports and decisions are gathered for this part of the report interval before planning.
@@ -35,7 +33,8 @@
       scope_(clock),
       cluster_(settings),
       relay_assignment_(settings),
-      command_dispatcher_(clock, client, cluster_, settings, command_dispatcher_callbacks()) {}
+      command_dispatcher_(clock, client, cluster_, settings, command_dispatcher_callbacks()),
+      machine_health_(clock, cluster_, settings, machine_health_callbacks()) {}
 
 void Leader::begin(bool spread) {
   scope_.restart();
@@ -88,23 +87,8 @@
   next_periodic_run_ = now + settings_.heartbeat_interval_s * kRetryRatio;
   scope_.after(settings_.heartbeat_interval_s * kRetryRatio, [this] { run_periodic_tasks(); });
   if (!election_.leads()) return;
-  std::vector<std::string> silent;
-  for (auto& [name, machine] : cluster_.machines()) {
-    if (machine.lease_expired || machine.lease_renewed_at < 0) continue;
-    // Its worker ends every task by then, and begins a new session when it can be heard again.
-    if (now > machine.lease_renewed_at + settings_.lease_s * (1 + kDrift) +
-                  settings_.heartbeat_interval_s / 10) {
-      silent.push_back(name);
-    }
-  }
-  for (const auto& name : silent) {
-    Machine& machine = *cluster_.find_machine(name);
-    machine.lease_expired = true;
-    machine.lease_expired_at = now;
-    spdlog::info("machine {} is silent: its lease is over", name);
-    end_sessions(machine, machine.incarnation + 1);
-  }
-  check_unreachable_machines();
+  machine_health_.expire_leases();
+  machine_health_.check_unreachable();
   relay_assignment_.count(listed_once_ ? std::optional(cluster_.machines().size()) : std::nullopt,
                           now);
   for (const auto& [id, job] : cluster_.jobs()) {
--- a/src/coordination/leader/leader.hpp
+++ b/src/coordination/leader/leader.hpp
@@ -18,6 +18,7 @@
 #include "coordination/scaling/machine_catalog.hpp"
 #include "coordination/scheduling/scheduler.hpp"
 #include "coordination/workers/command_dispatcher.hpp"
+#include "coordination/workers/machine_health.hpp"
 #include "protocol/relay_messages.hpp"
 #include "protocol/worker_messages.hpp"
 #include "storage/key_value_client.hpp"
@@ -118,10 +119,7 @@
   }
   void inspect(Machine& machine) { command_dispatcher_.query_status(machine); }
   CommandDispatcher::Callbacks command_dispatcher_callbacks();
-  void command_unanswered(Machine& machine);
-  void suspect_unreachable(Machine& machine);
-  void reached_again(Machine& machine);
-  void check_unreachable_machines();
+  MachineHealth::Callbacks machine_health_callbacks();
   void end_sessions(Machine& machine, std::uint64_t incarnation);
   void all_gone(Machine& machine, const std::string& why);
   void remove_machine(const std::string& name, const std::string& why);
@@ -194,6 +192,7 @@
 
   // The workers' side.
   CommandDispatcher command_dispatcher_;
+  MachineHealth machine_health_;
 };
 
 }  // namespace larkroad::coordination
--- a/src/coordination/leader/leader_cloud.cpp
+++ b/src/coordination/leader/leader_cloud.cpp
@@ -10,8 +10,6 @@
 // The fleet is looked at this often, as a part of the report interval.
 constexpr double kFleetRatio = 1.0 / 3;
 constexpr Seconds kCloudTimeout = 10;
-// The part of the machines that may go back because nothing reaches them.
-constexpr double kUnreachableMost = 0.2;
 // Prices move; the catalog is asked again after this many lags of the machine list.
 constexpr double kCatalogRatio = 10;
 
@@ -32,26 +30,6 @@
   if (!decided.scale_in.empty()) release_machines(decided.scale_in);
 }
 
-// Machines that report and don't hear are asked until they answer. One that never does within a
-// lease holds nothing any more, as its worker's lease has run out too: it goes back. When that
-// would be a large part of the fleet, the fault is more likely on this side, and nothing is done.
-void Leader::check_unreachable_machines() {
-  const Seconds now = clock_.now();
-  size_t deaf = 0;
-  std::vector<std::string> lost;
-  for (auto& [name, machine] : cluster_.machines()) {
-    if (machine.unreachable_since < 0 || machine.lease_expired || machine.being_released) continue;
-    ++deaf;
-    if (now - machine.unreachable_since > settings_.lease_s) lost.push_back(name);
-    if (now - machine.inspected_at > settings_.heartbeat_interval_s) inspect(machine);
-  }
-  if (lost.empty() || static_cast<double>(deaf) >
-                          kUnreachableMost * static_cast<double>(cluster_.machines().size()) + 1) {
-    return;
-  }
-  release_machines(lost);
-}
-
 // One line on how the fleet is used, for those who look for room.
 void Leader::log_use() {
   struct TypeUsage {
--- a/src/coordination/leader/leader_workers.cpp
+++ b/src/coordination/leader/leader_workers.cpp
@@ -28,8 +28,6 @@
 constexpr double kProvenReports = 4;
 // So many failures in a row of one replica may be its machines' fault.
 constexpr int kBlamedEnds = 2;
-// So few machines may all be gone at once; of more the silence says something of this node.
-constexpr int kFewMachines = 4;
 // Exited tasks that a machine keeps for want of a higher token, before that is raised for them.
 constexpr int kKeptMost = 6;
 
@@ -54,8 +52,19 @@
       .superseded = [this](std::uint64_t token) { election_.superseded(token); },
       .process_heartbeat =
           [this](const protocol::Heartbeat& heartbeat) { return process(heartbeat, From::call); },
-      .machine_answered = [this](Machine& machine) { reached_again(machine); },
-      .machine_unanswered = [this](Machine& machine) { command_unanswered(machine); },
+      .machine_answered = [this](Machine& machine) { machine_health_.call_answered(machine); },
+      .machine_unanswered = [this](Machine& machine) { machine_health_.call_unanswered(machine); },
+      .request_plan = [this] { request_plan(); },
+  };
+}
+
+MachineHealth::Callbacks Leader::machine_health_callbacks() {
+  return {
+      .end_incarnation =
+          [this](Machine& machine) { end_sessions(machine, machine.incarnation + 1); },
+      .query_status = [this](Machine& machine) { command_dispatcher_.query_status(machine); },
+      .release_machines =
+          [this](const std::vector<std::string>& names) { release_machines(names); },
       .request_plan = [this] { request_plan(); },
   };
 }
@@ -87,14 +96,9 @@
 }
 
 Seconds Leader::unreachable_by_workers_since() const {
-  Seconds newest = ready_at_;
-  int there = 0;
-  for (const auto& [name, machine] : cluster_.machines()) {
-    if (!machine.has_reported || machine.lease_expired) continue;
-    ++there;
-    newest = std::max(newest, machine.last_heartbeat_at);
-  }
-  return ready_ && there >= kFewMachines ? newest : -1;
+  if (!ready_) return -1;
+  const auto newest = machine_health_.newest_heartbeat_at();
+  return newest ? std::max(ready_at_, *newest) : -1;
 }
 
 bool Leader::is_own_fencing_token(std::uint64_t fencing_token) const {
@@ -175,7 +179,7 @@
     // Its lease ran out although its reports came and were answered: the answers don't arrive.
     if (machine.has_reported && !machine.lease_expired &&
         now - machine.last_heartbeat_at < settings_.lease_s / 2) {
-      suspect_unreachable(machine);
+      machine_health_.suspect_unreachable(machine);
     }
     end_sessions(machine, heartbeat.incarnation);
   }
@@ -508,28 +512,6 @@
   commands.push_back({CommandType::launch, key.first, placement.attempt, 0});
 }
 
-// Nothing seems to reach this machine, though its reports come. Nothing more is placed there until
-// it has answered; see scale for what becomes of it if it never does.
-void Leader::suspect_unreachable(Machine& machine) {
-  if (machine.unreachable_since >= 0) return;
-  machine.unreachable_since = clock_.now();
-  spdlog::info("machine {} reports, but does not seem to hear", machine.name);
-}
-
-// A call that is not answered, to a machine that sent a heartbeat a moment ago.
-void Leader::command_unanswered(Machine& machine) {
-  if (machine.last_heartbeat_at > clock_.now() - 2 * settings_.heartbeat_interval_s) {
-    suspect_unreachable(machine);
-  }
-}
-
-void Leader::reached_again(Machine& machine) {
-  machine.identity_confirmed = true;
-  if (machine.unreachable_since < 0) return;
-  machine.unreachable_since = -1;
-  request_plan();
-}
-
 void Leader::stop(Job& job, Placement& placement, double grace_s) {
   const Seconds now = clock_.now();
   if (placement.stopping && placement.grace_s <= grace_s) return;
--- /dev/null
+++ b/tests/machine_health_test.cpp
@@ -0,0 +1,160 @@
+#include "coordination/workers/machine_health.hpp"
+
+#include <gtest/gtest.h>
+
+#include <string>
+#include <vector>
+
+#include "fake_clock.hpp"
+#include "support.hpp"
+
+namespace larkroad::coordination {
+namespace {
+
+class MachineHealthTest : public ::testing::Test {
+ protected:
+  MachineHealth::Callbacks callbacks() {
+    return {
+        .end_incarnation = [this](Machine& machine) { ended.push_back(machine.name); },
+        .query_status =
+            [this](Machine& machine) {
+              machine.inspected_at = clock.now();
+              queried.push_back(machine.name);
+            },
+        .release_machines =
+            [this](const std::vector<std::string>& names) {
+              released.insert(released.end(), names.begin(), names.end());
+            },
+        .request_plan = [this] { ++requested_plans; },
+    };
+  }
+
+  Machine& add_machine(const std::string& name) {
+    Machine& machine = testing::up(cluster, name, "small");
+    machine.lease_renewed_at = clock.now();
+    machine.last_heartbeat_at = clock.now();
+    return machine;
+  }
+
+  void add_machines(int count) {
+    for (int i = 0; i < count; ++i) add_machine("m-" + std::to_string(i));
+  }
+
+  const Settings settings = testing::settings();
+  testing::FakeClock clock;
+  ClusterState cluster{settings};
+  std::vector<std::string> ended;
+  std::vector<std::string> queried;
+  std::vector<std::string> released;
+  int requested_plans = 0;
+  MachineHealth health{clock, cluster, settings, callbacks()};
+};
+
+TEST_F(MachineHealthTest, LeaseExpiresOnceAndOnlyPastClockDrift) {
+  Machine& machine = add_machine("m-0");
+  clock.advance(settings.lease_s);
+  health.expire_leases();
+  EXPECT_FALSE(machine.lease_expired) << "the worker's clock may be behind";
+  clock.advance(settings.lease_s * 0.001 + settings.heartbeat_interval_s / 10 + 0.001);
+  health.expire_leases();
+  EXPECT_TRUE(machine.lease_expired);
+  EXPECT_EQ(machine.lease_expired_at, clock.now());
+  health.expire_leases();
+  EXPECT_EQ(ended, (std::vector<std::string>{"m-0"}));
+}
+
+TEST_F(MachineHealthTest, MachineThatNeverHadALeaseDoesNotLoseIt) {
+  add_machine("m-0").lease_renewed_at = -1;
+  clock.advance(settings.lease_s * 10);
+  health.expire_leases();
+  EXPECT_TRUE(ended.empty());
+}
+
+TEST_F(MachineHealthTest, UnansweredCallCountsOnlyWhileHeartbeatsCome) {
+  Machine& up = add_machine("m-0");
+  Machine& gone = add_machine("m-1");
+  clock.advance(settings.heartbeat_interval_s * 2);
+  up.last_heartbeat_at = clock.now();
+  health.call_unanswered(up);
+  health.call_unanswered(gone);
+  EXPECT_EQ(up.unreachable_since, clock.now());
+  EXPECT_LT(gone.unreachable_since, 0);
+}
+
+TEST_F(MachineHealthTest, AnswerEndsUnreachability) {
+  Machine& machine = add_machine("m-0");
+  machine.identity_confirmed = false;
+  health.call_answered(machine);
+  EXPECT_TRUE(machine.identity_confirmed);
+  EXPECT_EQ(requested_plans, 0) << "it was reachable before";
+  health.suspect_unreachable(machine);
+  health.call_answered(machine);
+  EXPECT_LT(machine.unreachable_since, 0);
+  EXPECT_EQ(requested_plans, 1);
+}
+
+TEST_F(MachineHealthTest, UnreachableMachineIsQueriedOnceInAHeartbeatInterval) {
+  Machine& machine = add_machine("m-0");
+  add_machine("m-1");
+  health.suspect_unreachable(machine);
+  health.check_unreachable();
+  health.check_unreachable();
+  EXPECT_EQ(queried, (std::vector<std::string>{"m-0"}));
+  clock.advance(settings.heartbeat_interval_s + 0.01);
+  health.check_unreachable();
+  EXPECT_EQ(queried.size(), 2u);
+  EXPECT_TRUE(released.empty());
+}
+
+TEST_F(MachineHealthTest, UnreachableMachineIsReleasedAfterALease) {
+  Machine& machine = add_machine("m-0");
+  health.suspect_unreachable(machine);
+  clock.advance(settings.lease_s);
+  health.suspect_unreachable(machine);  // keeps the time of the first suspicion
+  health.check_unreachable();
+  EXPECT_TRUE(released.empty());
+  clock.advance(0.01);
+  health.check_unreachable();
+  EXPECT_EQ(released, (std::vector<std::string>{"m-0"}));
+}
+
+TEST_F(MachineHealthTest, UnreachableMachineIsLeftAloneWhenGoneAnyway) {
+  Machine& expired = add_machine("m-0");
+  Machine& being_released = add_machine("m-1");
+  health.suspect_unreachable(expired);
+  health.suspect_unreachable(being_released);
+  expired.lease_expired = true;
+  being_released.being_released = true;
+  clock.advance(settings.lease_s + 1);
+  health.check_unreachable();
+  EXPECT_TRUE(queried.empty());
+  EXPECT_TRUE(released.empty());
+}
+
+TEST_F(MachineHealthTest, NoMachineIsReleasedWhenAFifthAndMoreIsUnreachable) {
+  add_machines(10);  // three may be unreachable: a fifth of them and one more
+  for (const std::string name : {"m-0", "m-1", "m-2", "m-3"}) {
+    health.suspect_unreachable(cluster.machine(name));
+  }
+  clock.advance(settings.lease_s + 1);
+  health.check_unreachable();
+  EXPECT_TRUE(released.empty());
+  health.call_answered(cluster.machine("m-3"));
+  health.check_unreachable();
+  EXPECT_EQ(released, (std::vector<std::string>{"m-0", "m-1", "m-2"}));
+}
+
+TEST_F(MachineHealthTest, NewestHeartbeatOfTheFleetNeedsFourMachinesWithALease) {
+  add_machines(4);
+  clock.advance(1);
+  cluster.machine("m-2").last_heartbeat_at = clock.now();
+  EXPECT_EQ(health.newest_heartbeat_at(), clock.now());
+  cluster.machine("m-1").lease_expired = true;
+  EXPECT_EQ(health.newest_heartbeat_at(), std::nullopt);
+  cluster.machine("m-1").lease_expired = false;
+  cluster.machine("m-1").has_reported = false;
+  EXPECT_EQ(health.newest_heartbeat_at(), std::nullopt);
+}
+
+}  // namespace
+}  // namespace larkroad::coordination
