--- a/src/coordination/leader/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -34,7 +34,9 @@
       cluster_(settings),
       relay_assignment_(settings),
       command_dispatcher_(clock, client, cluster_, settings, command_dispatcher_callbacks()),
-      machine_health_(clock, cluster_, settings, machine_health_callbacks()) {}
+      machine_health_(clock, cluster_, settings, machine_health_callbacks()),
+      failure_tracker_(clock, cluster_, settings),
+      task_evictor_(clock, cluster_, command_dispatcher_, settings, [this] { request_plan(); }) {}
 
 void Leader::begin(bool spread) {
   scope_.restart();
--- a/src/coordination/leader/leader.hpp
+++ b/src/coordination/leader/leader.hpp
@@ -18,7 +18,9 @@
 #include "coordination/scaling/machine_catalog.hpp"
 #include "coordination/scheduling/scheduler.hpp"
 #include "coordination/workers/command_dispatcher.hpp"
+#include "coordination/workers/failure_tracker.hpp"
 #include "coordination/workers/machine_health.hpp"
+#include "coordination/workers/task_evictor.hpp"
 #include "protocol/relay_messages.hpp"
 #include "protocol/worker_messages.hpp"
 #include "storage/key_value_client.hpp"
@@ -103,27 +105,22 @@
   void process_task(Machine& machine, const protocol::TaskStatus& task, Commands& commands);
   bool may_forget(Machine& machine, const protocol::TaskStatus& task);
   void exited(Machine& machine, Job& job, const protocol::TaskStatus& task);
-  void failed(Machine& machine, Job& job, const Placement& placement);
-  void blame(Machine& machine, Job& job);
-  static void quarantine(Machine& machine);
-  void back_off(Job& job);
-  void replica_proven_running(Machine& machine, Job& job, Placement& replica);
-  void replica_ended(Job& job, const Placement& replica);
   void absent(Machine& machine, Job& job, Placement& placement, From from, Commands& commands);
-  double grace(const Job& job) const;
-  void stop(Job& job, Placement& placement, double grace_s);
   void abort_gang_attempt(Job& job, const std::string& why);
   // Short names for what the other parts of the leader call.
   void launch(Job& job, const std::vector<std::uint32_t>& tasks) {
     command_dispatcher_.launch(job, tasks);
   }
   void inspect(Machine& machine) { command_dispatcher_.query_status(machine); }
+  void stop(Job& job, Placement& placement, double grace_s) {
+    task_evictor_.stop(job, placement, grace_s);
+  }
+  double grace(const Job& job) const { return task_evictor_.checkpoint_grace(job); }
   CommandDispatcher::Callbacks command_dispatcher_callbacks();
   MachineHealth::Callbacks machine_health_callbacks();
   void end_sessions(Machine& machine, std::uint64_t incarnation);
   void all_gone(Machine& machine, const std::string& why);
   void remove_machine(const std::string& name, const std::string& why);
-  void drain(Machine& machine, double reclaim_notice_s);
 
   // Loops.
   void run_periodic_tasks();
@@ -193,6 +190,8 @@
   // The workers' side.
   CommandDispatcher command_dispatcher_;
   MachineHealth machine_health_;
+  FailureTracker failure_tracker_;
+  TaskEvictor task_evictor_;
 };
 
 }  // namespace larkroad::coordination
--- a/src/coordination/leader/leader_workers.cpp
+++ b/src/coordination/leader/leader_workers.cpp
@@ -12,30 +12,9 @@
 using protocol::CommandType;
 using protocol::ExitCause;
 
-// Tasks that fail on a machine, with none that succeeds, before it is put aside; and the evidence
-// that the jobs of these must give together.
-constexpr int kMachineFailures = 3;
-constexpr int kEvidence = 6;
-constexpr int kFailingJobWeight = 2;
-constexpr int kFailsEverywhereWeight = 1;
-// So many tasks in a row that fail at their start, of jobs that start elsewhere, put a machine
-// aside.
-constexpr int kFailedStarts = 2;
-// An error or a refusal keeps a job or a machine waiting for this many reports.
-constexpr double kPauseReports = 1;
-constexpr double kLongestPauseReports = 16;
-// A service's replica that has run for this many reports counts as a success.
-constexpr double kProvenReports = 4;
-// So many failures in a row of one replica may be its machines' fault.
-constexpr int kBlamedEnds = 2;
 // Exited tasks that a machine keeps for want of a higher token, before that is raised for them.
 constexpr int kKeptMost = 6;
 
-// The pause after one more failure than so many in a row, in reports.
-double pause_reports(int failures) {
-  return std::min(kPauseReports * (1 << std::min(failures, 4)), kLongestPauseReports);
-}
-
 // Whether a report tells more than what is known of its machine.
 bool newer(const protocol::Heartbeat& heartbeat, const Machine& machine) {
   return std::tie(heartbeat.incarnation, heartbeat.sequence) >
@@ -162,7 +141,7 @@
   begin_session(machine, heartbeat);
   update_machine(machine, heartbeat, from);
   if (heartbeat.reclaim_notice_s && !machine.reclaimed_at) {
-    drain(machine, *heartbeat.reclaim_notice_s);
+    task_evictor_.drain(machine, *heartbeat.reclaim_notice_s);
   } else if (!heartbeat.reclaim_notice_s) {
     machine.reclaimed_at.reset();
   }
@@ -324,8 +303,7 @@
                                                      : "saving");
   }
   if (has_image && placement->state == TaskState::fetching) {
-    job->note_start(machine.name);
-    machine.failed_starts = 0;
+    FailureTracker::record_start(machine, *job);
   }
   placement->stage = Placement::Stage::acknowledged;
   placement->recovered = false;
@@ -336,7 +314,7 @@
   }
   if (task.state == TaskState::running) {
     if (placement->running_since < 0) placement->running_since = now;
-    if (job->spec.is_service()) replica_proven_running(machine, *job, *placement);
+    if (job->spec.is_service()) failure_tracker_.record_running_replica(machine, *job, *placement);
     job->gang_started = job->spec.is_gang();
     job->seen_running = true;
   }
@@ -370,11 +348,10 @@
   switch (task.cause) {
     case ExitCause::done:
       if (job.spec.is_service()) {
-        replica_ended(job, job.placements.at(task.id.task));
+        failure_tracker_.record_replica_exit(job, job.placements.at(task.id.task));
         break;
       }
-      machine.failures = 0;
-      machine.failed_jobs.clear();
+      FailureTracker::record_success(machine);
       if (const auto& p = job.placements.at(task.id.task); p.running_since >= 0) {
         cluster_.learn_run(job.spec, now - p.running_since);
       }
@@ -383,14 +360,14 @@
       request_plan();
       return;
     case ExitCause::error:
-      failed(machine, job, job.placements.at(task.id.task));
+      failure_tracker_.record_failure(machine, job, job.placements.at(task.id.task));
       break;
     case ExitCause::full:
-      machine.refused_until = now + settings_.heartbeat_interval_s * kPauseReports;
+      failure_tracker_.record_refusal(machine);
       break;
     case ExitCause::busy:
     case ExitCause::unknown:
-      back_off(job);
+      failure_tracker_.back_off(job);
       break;
     default:
       break;
@@ -402,84 +379,6 @@
     abort_gang_attempt(job, protocol::cause_name(task.cause));
 }
 
-void Leader::failed(Machine& machine, Job& job, const Placement& placement) {
-  const bool at_its_start = placement.state == TaskState::fetching;
-  if (!at_its_start) job.started_machines.clear();
-  // A task that fails at its start, of a job whose tasks start elsewhere: the machine is at fault,
-  // and the job need not wait.
-  if (at_its_start && job.started_elsewhere_than(machine.name)) {
-    job.failed_machines.insert(machine.name);
-    if (++machine.failed_starts >= kFailedStarts) quarantine(machine);
-    return;
-  }
-  if (job.spec.is_service()) {
-    // One that fails again and again is itself at fault, though others of its job run.
-    if (job.restarts[placement.task].ends < kBlamedEnds) blame(machine, job);
-    replica_ended(job, placement);
-  } else {
-    blame(machine, job);
-    back_off(job);
-  }
-}
-
-void Leader::quarantine(Machine& machine) {
-  if (machine.quarantined) return;
-  spdlog::info("machine {} is put aside: every task fails on it", machine.name);
-  machine.quarantined = true;
-}
-
-// Mostly the machine is faulty. But a job that was submitted with a mistake fails wherever it runs,
-// and its failures say little of the machines. So a machine is suspected when several jobs fail on
-// it with none that succeeds, or a few tasks of one that succeeds elsewhere. Jobs that fail
-// everywhere count for less, though not for nothing: where many machines are faulty, sound jobs
-// seem to be so.
-void Leader::blame(Machine& machine, Job& job) {
-  const bool known = job.fails_everywhere();
-  job.failed_machines.insert(machine.name);
-  if (!known && job.fails_everywhere()) {
-    spdlog::info("job {} fails everywhere: one of its tasks is tried now and then", job.id());
-  }
-  ++machine.failures;
-  machine.failed_jobs.insert(job.id());
-  if (machine.failures < kMachineFailures || machine.quarantined) return;
-  int evidence = 0;
-  for (const auto& id : machine.failed_jobs) {
-    const Job* other = cluster_.job(id);
-    if (other == nullptr) continue;
-    if (other->succeeds_elsewhere_than(machine.name)) evidence += kEvidence;
-    evidence += other->fails_everywhere() ? kFailsEverywhereWeight : kFailingJobWeight;
-  }
-  if (evidence >= kEvidence) quarantine(machine);
-}
-
-// A replica that has run for a while shows that neither its job nor its machine is at fault.
-void Leader::replica_proven_running(Machine& machine, Job& job, Placement& replica) {
-  const Seconds runs = clock_.now() - replica.running_since;
-  if (replica.proven || runs < settings_.heartbeat_interval_s * kProvenReports) return;
-  replica.proven = true;
-  job.restarts.erase(replica.task);
-  job.failures = 0;
-  job.failed_machines.clear();
-  machine.failures = 0;
-  machine.failed_jobs.clear();
-}
-
-// A replica that has ended by itself starts again at once; one that does so time after time waits
-// in between, longer each time. The other replicas of its job are not held up.
-void Leader::replica_ended(Job& job, const Placement& replica) {
-  ReplicaRestarts& restarts = job.restarts[replica.task];
-  if (restarts.ends > 0) {
-    restarts.retry_at =
-        clock_.now() + settings_.heartbeat_interval_s * pause_reports(restarts.ends - 1);
-  }
-  ++restarts.ends;
-}
-
-void Leader::back_off(Job& job) {
-  job.retry_at = clock_.now() + settings_.heartbeat_interval_s * pause_reports(job.failures);
-  ++job.failures;
-}
-
 void Leader::absent(Machine& machine, Job& job, Placement& placement, From from,
                     Commands& commands) {
   const auto key = std::make_pair(TaskId{job.id(), placement.task}, placement.attempt);
@@ -512,47 +411,6 @@
   commands.push_back({CommandType::launch, key.first, placement.attempt, 0});
 }
 
-void Leader::stop(Job& job, Placement& placement, double grace_s) {
-  const Seconds now = clock_.now();
-  if (placement.stopping && placement.grace_s <= grace_s) return;
-  placement.stopping = true;
-  placement.grace_s = grace_s;
-  Machine* machine = cluster_.find_machine(placement.machine);
-  if (machine == nullptr || machine->address.empty()) return;
-  placement.stop_sent = now;
-  command_dispatcher_.queue(
-      placement.machine,
-      {{CommandType::kill, {job.id(), placement.task}, placement.attempt, grace_s}});
-}
-
-// Long enough to save, with a report's worth to spare for a slow machine.
-double Leader::grace(const Job& job) const {
-  return job.spec.save_s + settings_.heartbeat_interval_s;
-}
-
-void Leader::drain(Machine& machine, double reclaim_notice_s) {
-  const Seconds now = clock_.now();
-  machine.reclaimed_at = now + reclaim_notice_s;
-  spdlog::info("machine {} will be taken in {:.1f} s", machine.name, reclaim_notice_s);
-  const auto tasks = machine.tasks;
-  for (const auto& id : tasks) {
-    Job* job = cluster_.job(id.job);
-    if (job == nullptr) continue;
-    const auto it = job->placements.find(id.task);
-    if (it == job->placements.end() || it->second.stage != Placement::Stage::acknowledged) continue;
-    if (job->spec.is_gang() && job->spec.tasks > 1) {
-      // An orderly stop: all members, with the same grace, in one round.
-      for (auto& [task, placement] : job->placements) {
-        if (placement.stage == Placement::Stage::acknowledged) stop(*job, placement, grace(*job));
-      }
-    } else if (job->spec.is_service()) {
-      request_plan();  // the planner finds room for it first
-    } else if (job->spec.checkpoint_s > 0 || it->second.state != TaskState::running) {
-      stop(*job, it->second, grace(*job));
-    }
-  }
-}
-
 void Leader::all_gone(Machine& machine, const std::string& why) {
   const auto tasks = machine.tasks;  // a copy: what follows changes it
   for (const auto& id : tasks) {
