--- a/src/coordination/leader/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -36,7 +36,13 @@
       command_dispatcher_(clock, client, cluster_, settings, command_dispatcher_callbacks()),
       machine_health_(clock, cluster_, settings, machine_health_callbacks()),
       failure_tracker_(clock, cluster_, settings),
-      task_evictor_(clock, cluster_, command_dispatcher_, settings, [this] { request_plan(); }) {}
+      task_evictor_(clock, cluster_, command_dispatcher_, settings, [this] { request_plan(); }),
+      task_reconciler_(clock, cluster_, election, command_dispatcher_, failure_tracker_,
+                       task_reconciler_callbacks()),
+      heartbeat_processor_(clock, cluster_, election, settings, machine_health_, task_evictor_,
+                           task_reconciler_, removed_machines_,
+                           [this](Machine& machine) { restore_images(machine); }),
+      heartbeat_endpoint_(clock, cluster_, election, relay_assignment_, heartbeat_processor_) {}
 
 void Leader::begin(bool spread) {
   scope_.restart();
@@ -45,7 +51,7 @@
   ready_ = false;
   loading_ = true;
   begun_at_ = clock_.now();
-  first_fencing_token_ = election_.fencing_token();
+  heartbeat_processor_.begin_term();
   cluster_.clear();
   cluster_.set_day_offset(clock_.unix_time() - clock_.now());
   gang_reservations_.clear();
--- a/src/coordination/leader/leader.hpp
+++ b/src/coordination/leader/leader.hpp
@@ -19,8 +19,11 @@
 #include "coordination/scheduling/scheduler.hpp"
 #include "coordination/workers/command_dispatcher.hpp"
 #include "coordination/workers/failure_tracker.hpp"
+#include "coordination/workers/heartbeat_endpoint.hpp"
+#include "coordination/workers/heartbeat_processor.hpp"
 #include "coordination/workers/machine_health.hpp"
 #include "coordination/workers/task_evictor.hpp"
+#include "coordination/workers/task_reconciler.hpp"
 #include "protocol/relay_messages.hpp"
 #include "protocol/worker_messages.hpp"
 #include "storage/key_value_client.hpp"
@@ -45,9 +48,7 @@
   // time. False when the job is not known here.
   bool cancelled_by_peer(const std::string& id);
 
-  // How a batch came. A relay that cannot reach the leader reaches none of the nodes to which its
-  // workers could be sent on either.
-  enum class RelayRoute { direct, state_service };
+  using RelayRoute = coordination::RelayRoute;
   // A worker's report, when this node may answer for the leader; `via`: the node that relays it,
   // empty when it came here.
   transport::Response handle_heartbeat(const protocol::Heartbeat& heartbeat,
@@ -57,7 +58,9 @@
   std::vector<protocol::RelayedAnswer> handle_relayed_heartbeats(const protocol::RelayBatch& batch,
                                                                  RelayRoute route);
   // Whether a batch for the leader with this token is for this leadership.
-  bool is_own_fencing_token(std::uint64_t fencing_token) const;
+  bool is_own_fencing_token(std::uint64_t fencing_token) const {
+    return heartbeat_processor_.is_of_this_term(fencing_token);
+  }
   RelayAssignment& relay_assignment() { return relay_assignment_; }
   // Whether machines that reported are not heard any more, all of them at once: -1 when not, else
   // since when.
@@ -94,19 +97,13 @@
   void task_gone(Job& job, std::uint32_t task, const std::string& why);
 
   // Workers.
-  // Where a report comes from: brought by its worker, or as the answer to this leader's own call.
-  enum class From { worker, call };
-  Commands process(const protocol::Heartbeat& heartbeat, From from);
-  void begin_session(Machine& machine, const protocol::Heartbeat& heartbeat);
-  void first_heard(Machine& machine, const protocol::Heartbeat& heartbeat);
-  void update_machine(Machine& machine, const protocol::Heartbeat& heartbeat, From from);
-  void process_tasks(Machine& machine, const protocol::Heartbeat& heartbeat, From from,
-                     Commands& commands);
-  void process_task(Machine& machine, const protocol::TaskStatus& task, Commands& commands);
-  bool may_forget(Machine& machine, const protocol::TaskStatus& task);
-  void exited(Machine& machine, Job& job, const protocol::TaskStatus& task);
-  void absent(Machine& machine, Job& job, Placement& placement, From from, Commands& commands);
-  void abort_gang_attempt(Job& job, const std::string& why);
+  CommandDispatcher::Callbacks command_dispatcher_callbacks();
+  MachineHealth::Callbacks machine_health_callbacks();
+  TaskReconciler::Callbacks task_reconciler_callbacks();
+  RecordsState records_state() const {
+    return ready_ ? RecordsState::loaded : RecordsState::loading;
+  }
+  void restore_images(Machine& machine);
   // Short names for what the other parts of the leader call.
   void launch(Job& job, const std::vector<std::uint32_t>& tasks) {
     command_dispatcher_.launch(job, tasks);
@@ -116,10 +113,10 @@
     task_evictor_.stop(job, placement, grace_s);
   }
   double grace(const Job& job) const { return task_evictor_.checkpoint_grace(job); }
-  CommandDispatcher::Callbacks command_dispatcher_callbacks();
-  MachineHealth::Callbacks machine_health_callbacks();
-  void end_sessions(Machine& machine, std::uint64_t incarnation);
-  void all_gone(Machine& machine, const std::string& why);
+  void all_gone(Machine& machine, const std::string& reason) {
+    task_reconciler_.end_all_tasks(machine, reason);
+  }
+  void abort_gang_attempt(Job& job, const std::string& why);
   void remove_machine(const std::string& name, const std::string& why);
 
   // Loops.
@@ -151,7 +148,6 @@
   bool loading_ = false;
   Seconds loading_since_ = 0;  // when the first page of the jobs was asked for
   Seconds begun_at_ = 0;
-  std::uint64_t first_fencing_token_ = 0;  // of this leadership, before it was ever raised
   Seconds ready_at_ = 0;
   ClusterState cluster_;
   GangReservations gang_reservations_;
@@ -182,8 +178,6 @@
     int planning_rounds = 0;
     Seconds planning_time = 0;
     Seconds fleet_time = 0;
-    size_t heartbeats = 0;
-    size_t reported_tasks = 0;
   };
   Activity activity_;
 
@@ -192,6 +186,9 @@
   MachineHealth machine_health_;
   FailureTracker failure_tracker_;
   TaskEvictor task_evictor_;
+  TaskReconciler task_reconciler_;
+  HeartbeatProcessor heartbeat_processor_;
+  HeartbeatEndpoint heartbeat_endpoint_;
 };
 
 }  // namespace larkroad::coordination
--- a/src/coordination/leader/leader_cloud.cpp
+++ b/src/coordination/leader/leader_cloud.cpp
@@ -74,10 +74,11 @@
     line += fmt::format(" {} waits: {} jobs {} tasks;", name, count.first, count.second);
   }
   spdlog::debug("fleet (running/placed/all){}", line);
+  const auto processed = heartbeat_processor_.take_counts();
   spdlog::debug(
       "activity: {} planning rounds {:.1f} ms, fleet {:.1f} ms, {} reports of {} tasks, {} calls",
       activity_.planning_rounds, activity_.planning_time * 1e3, activity_.fleet_time * 1e3,
-      activity_.heartbeats, activity_.reported_tasks, command_dispatcher_.take_sent_calls());
+      processed.heartbeats, processed.reported_tasks, command_dispatcher_.take_sent_calls());
   activity_ = {};
 }
 
--- /dev/null
+++ b/src/coordination/workers/heartbeat_endpoint.cpp
@@ -0,0 +1,128 @@
+#include "coordination/workers/heartbeat_endpoint.hpp"
+
+#include <algorithm>
+#include <exception>
+#include <tuple>
+#include <utility>
+
+namespace larkroad::coordination {
+namespace {
+
+using protocol::Command;
+using protocol::CommandType;
+using protocol::RelayedAnswer;
+using protocol::RelayedHeartbeat;
+
+constexpr int kStatusOk = 200;
+constexpr int kStatusBadRequest = 400;
+constexpr int kStatusMisdirected = 421;
+constexpr int kStatusUnavailable = 503;
+
+// The position of a heartbeat among those of its machine.
+auto position(const protocol::Heartbeat& heartbeat) {
+  return std::tie(heartbeat.incarnation, heartbeat.sequence);
+}
+
+}  // namespace
+
+HeartbeatEndpoint::HeartbeatEndpoint(const transport::Clock& clock, ClusterState& cluster,
+                                     Election& election, RelayAssignment& relay_assignment,
+                                     HeartbeatProcessor& processor)
+    : clock_(clock),
+      cluster_(cluster),
+      election_(election),
+      relay_assignment_(relay_assignment),
+      processor_(processor) {}
+
+transport::Response HeartbeatEndpoint::handle(const protocol::Heartbeat& heartbeat,
+                                              const std::string& via, RelayRoute route,
+                                              RecordsState records) {
+  const Seconds now = clock_.now();
+  if (route == RelayRoute::direct) {
+    const auto target = relay_assignment_.elsewhere(heartbeat.machine, heartbeat.zone, via, now);
+    if (target) return {kStatusMisdirected, protocol::encode_redirect(*target), 0, true};
+  }
+  relay_assignment_.reported(heartbeat.machine, via, now);
+  const Commands commands = process(heartbeat, records);
+  return {kStatusOk, protocol::encode_heartbeat_response(election_.fencing_token(), commands), 0,
+          true};
+}
+
+Commands HeartbeatEndpoint::process(const protocol::Heartbeat& heartbeat, RecordsState records) {
+  if (processor_.is_removed(heartbeat.machine)) return {};
+  const Seconds now = clock_.now();
+  Machine& machine = cluster_.machine(heartbeat.machine);
+  // The response renews the worker's lease as of when the heartbeat was sent, so not beyond a lease
+  // from now, however late a relay hands the response on. One that is no newer than what is known
+  // was sent before that, however late this copy of it comes.
+  const bool stale = !HeartbeatProcessor::is_newer(heartbeat, machine);
+  Commands commands;
+  if (records == RecordsState::loaded) {
+    commands = processor_.process(heartbeat, HeartbeatSource::worker);
+  }
+  machine.lease_renewed_at =
+      std::max(machine.lease_renewed_at, stale ? machine.last_heartbeat_at : now);
+  if (!election_.leads()) {
+    // Past its lease the leader keeps what runs alive and stops what must end, but starts nothing.
+    std::erase_if(commands, [](const Command& c) { return c.type != CommandType::kill; });
+  }
+  return commands;
+}
+
+std::vector<RelayedAnswer> HeartbeatEndpoint::handle_batch(const protocol::RelayBatch& batch,
+                                                           RelayRoute route, RecordsState records) {
+  relay_assignment_.relays(batch.member, clock_.now());
+  std::vector<RelayedAnswer> answers;
+  for (const auto& item : batch.heartbeats) {
+    answers.push_back(handle_relayed(item, batch.member, route, records));
+  }
+  return answers;
+}
+
+RelayedAnswer HeartbeatEndpoint::handle_relayed(const RelayedHeartbeat& item,
+                                                const std::string& via, RelayRoute route,
+                                                RecordsState records) {
+  protocol::Heartbeat heartbeat;
+  const bool whole = item.heartbeat || !item.payload.empty();
+  if (item.heartbeat) {
+    heartbeat = *item.heartbeat;
+  } else if (whole) {
+    try {
+      heartbeat = protocol::parse_heartbeat(item.payload);
+    } catch (const std::exception& error) {
+      return {kStatusBadRequest, protocol::encode_error(error.what())};
+    }
+  } else {
+    const protocol::Heartbeat* base = find_base(item);
+    if (base == nullptr) return {protocol::kNeedsPayload, ""};
+    heartbeat = *base;
+    heartbeat.sequence = item.sequence;
+  }
+  election_.superseded(heartbeat.fencing_token);
+  if (!election_.may_answer_reports()) return {kStatusUnavailable, ""};
+  auto response = handle(heartbeat, via, route, records);
+  if (whole && response.status == kStatusOk) keep_as_base(std::move(heartbeat));
+  return {response.status, std::move(response.body)};
+}
+
+// The heartbeat that this one differs from in its sequence number only; null when it is not known
+// here, so that the relay must send the whole.
+const protocol::Heartbeat* HeartbeatEndpoint::find_base(const RelayedHeartbeat& item) const {
+  const Machine* machine = cluster_.find_machine(item.machine);
+  if (machine == nullptr) return nullptr;
+  const protocol::Heartbeat& base = machine->last_relayed_heartbeat;
+  const bool same = base.incarnation == item.incarnation && base.sequence == item.base_sequence &&
+                    item.sequence >= item.base_sequence;
+  return same ? &base : nullptr;
+}
+
+// Keeps a whole heartbeat, so that later ones of the machine need not repeat what is the same.
+void HeartbeatEndpoint::keep_as_base(protocol::Heartbeat heartbeat) {
+  Machine* machine = cluster_.find_machine(heartbeat.machine);
+  if (machine == nullptr) return;
+  if (position(heartbeat) > position(machine->last_relayed_heartbeat)) {
+    machine->last_relayed_heartbeat = std::move(heartbeat);
+  }
+}
+
+}  // namespace larkroad::coordination
--- /dev/null
+++ b/src/coordination/workers/heartbeat_processor.cpp
@@ -0,0 +1,139 @@
+#include "coordination/workers/heartbeat_processor.hpp"
+
+#include <algorithm>
+#include <tuple>
+#include <utility>
+
+#include "log.hpp"
+
+namespace larkroad::coordination {
+
+HeartbeatProcessor::HeartbeatProcessor(const transport::Clock& clock, ClusterState& cluster,
+                                       const Election& election, const Settings& settings,
+                                       MachineHealth& health, TaskEvictor& evictor,
+                                       TaskReconciler& reconciler,
+                                       const RemovedMachines& removed_machines,
+                                       OnFirstHeartbeat on_first_heartbeat)
+    : clock_(clock),
+      cluster_(cluster),
+      election_(election),
+      settings_(settings),
+      health_(health),
+      evictor_(evictor),
+      reconciler_(reconciler),
+      removed_machines_(removed_machines),
+      on_first_heartbeat_(std::move(on_first_heartbeat)) {}
+
+void HeartbeatProcessor::begin_term() {
+  term_began_at_ = clock_.now();
+  first_fencing_token_ = election_.fencing_token();
+}
+
+bool HeartbeatProcessor::is_of_this_term(std::uint64_t fencing_token) const {
+  return fencing_token >= first_fencing_token_ && fencing_token <= election_.fencing_token();
+}
+
+bool HeartbeatProcessor::is_newer(const protocol::Heartbeat& heartbeat, const Machine& machine) {
+  return std::tie(heartbeat.incarnation, heartbeat.sequence) >
+         std::tie(machine.incarnation, machine.sequence);
+}
+
+Commands HeartbeatProcessor::process(const protocol::Heartbeat& heartbeat, HeartbeatSource source) {
+  ++counts_.heartbeats;
+  counts_.reported_tasks += heartbeat.tasks.size();
+  if (is_removed(heartbeat.machine)) return {};
+  Machine& machine = cluster_.machine(heartbeat.machine);
+  if (!is_newer(heartbeat, machine)) return {};
+  // An incarnation whose lease expired cannot send any more: this heartbeat was held up.
+  if (machine.lease_expired && heartbeat.incarnation == machine.incarnation) return {};
+  begin_incarnation(machine, heartbeat);
+  update_machine(machine, heartbeat, source);
+  update_reclaim_notice(machine, heartbeat);
+  return reconciler_.reconcile(machine, heartbeat, source);
+}
+
+// What a new incarnation, or the first heartbeat of a machine, tells of its leases.
+void HeartbeatProcessor::begin_incarnation(Machine& machine, const protocol::Heartbeat& heartbeat) {
+  const Seconds now = clock_.now();
+  const bool new_incarnation = heartbeat.incarnation > machine.incarnation;
+  if (new_incarnation) {
+    // Its lease ran out although its heartbeats came and were answered: the responses don't arrive.
+    if (machine.has_reported && !machine.lease_expired &&
+        now - machine.last_heartbeat_at < settings_.lease_s / 2) {
+      health_.suspect_unreachable(machine);
+    }
+    reconciler_.end_incarnations_before(machine, heartbeat.incarnation);
+  }
+  if (new_incarnation || !machine.has_reported) {
+    // The lease of an incarnation that nobody has answered counts from when it began, which may be
+    // as late as now. Without this the lease of a machine known by `/inspect` only was taken for
+    // expired by the bound of the earlier leader's answers, while the machine held new tasks (the
+    // simulated run cut_off_while_the_leader_changes).
+    machine.lease_renewed_at = std::max(machine.lease_renewed_at, now);
+  }
+  if (!machine.has_reported) register_machine(machine, heartbeat);
+}
+
+void HeartbeatProcessor::register_machine(Machine& machine, const protocol::Heartbeat& heartbeat) {
+  const Seconds now = clock_.now();
+  // Until it has seen this leader's token, one before that may still answer it. Those that the
+  // records name have this bound from the loading; a machine without tasks is met here first.
+  if (heartbeat.fencing_token < first_fencing_token_) {
+    machine.lease_renewed_at =
+        std::max(machine.lease_renewed_at, term_began_at_ + election_.retention());
+  }
+  machine.has_reported = true;
+  machine.known_to_exist_at = std::max(machine.known_to_exist_at, now);
+  machine.idle_since = now;
+  if (machine.rented_at == 0) machine.rented_at = now;
+  on_first_heartbeat_(machine);
+  spdlog::info("machine up machine={} type={} zone={} spot={}", heartbeat.machine, heartbeat.type,
+               heartbeat.zone, heartbeat.spot);
+}
+
+void HeartbeatProcessor::update_machine(Machine& machine, const protocol::Heartbeat& heartbeat,
+                                        HeartbeatSource source) {
+  const Seconds now = clock_.now();
+  machine.incarnation = heartbeat.incarnation;
+  machine.sequence = heartbeat.sequence;
+  machine.seen_fencing_token = std::max(machine.seen_fencing_token, heartbeat.fencing_token);
+  if (machine.seen_fencing_token >= first_fencing_token_) machine.identity_confirmed = true;
+  machine.last_heartbeat_at = now;
+  if (source == HeartbeatSource::worker || machine.last_worker_heartbeat_at < 0) {
+    machine.last_worker_heartbeat_at = now;
+  }
+  machine.lease_expired = false;
+  machine.address = heartbeat.address;
+  machine.zone = heartbeat.zone;
+  machine.spot = heartbeat.spot;
+  if (machine.type != heartbeat.type || machine.capacity.cpus == 0) {
+    cluster_.set_type(machine, heartbeat.type);
+  }
+  drop_fenced_launches(machine, heartbeat, source);
+}
+
+// Launches that the worker refuses from now on, as it has seen a higher token; and those in a
+// response to an earlier heartbeat, as its next one shows that it has handled the response.
+void HeartbeatProcessor::drop_fenced_launches(Machine& machine,
+                                              const protocol::Heartbeat& heartbeat,
+                                              HeartbeatSource source) {
+  std::erase_if(machine.direct_launches,
+                [&](const auto& entry) { return entry.second < machine.seen_fencing_token; });
+  std::erase_if(machine.unresolved_launches, [&](const auto& entry) {
+    const UnresolvedLaunch& launch = entry.second;
+    const bool response_handled = launch.answer_to != 0 && source == HeartbeatSource::worker &&
+                                  launch.answer_to < heartbeat.sequence;
+    return launch.fencing_token < machine.seen_fencing_token || response_handled;
+  });
+}
+
+void HeartbeatProcessor::update_reclaim_notice(Machine& machine,
+                                               const protocol::Heartbeat& heartbeat) {
+  if (!heartbeat.reclaim_notice_s) {
+    machine.reclaimed_at.reset();
+  } else if (!machine.reclaimed_at) {
+    evictor_.drain(machine, *heartbeat.reclaim_notice_s);
+  }
+}
+
+}  // namespace larkroad::coordination
--- /dev/null
+++ b/src/coordination/workers/heartbeat_processor.hpp
@@ -0,0 +1,85 @@
+/// What heartbeats prove of machines and of the incarnations of their agents.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <string>
+#include <utility>
+
+#include "coordination/cluster_state/cluster_state.hpp"
+#include "coordination/election/election.hpp"
+#include "coordination/workers/machine_health.hpp"
+#include "coordination/workers/task_evictor.hpp"
+#include "coordination/workers/task_reconciler.hpp"
+#include "protocol/worker_messages.hpp"
+#include "settings.hpp"
+#include "transport/clock.hpp"
+
+namespace larkroad::coordination {
+
+/// Takes heartbeats into the cluster state during one term of leadership.
+///
+/// Heartbeats of a machine are ordered by incarnation and sequence number, and each is taken in at
+/// most once: copies and heartbeats that were overtaken have no effect. Once the lease of an
+/// incarnation expired, none of its heartbeats counts any more.
+///
+/// Called with every heartbeat that reaches the leader, whichever way it came.
+class HeartbeatProcessor {
+ public:
+  /// Machines that are known to be gone, and since when.
+  using RemovedMachines = std::map<std::string, Seconds>;
+  /// Called with a machine's first heartbeat in this term.
+  using OnFirstHeartbeat = std::function<void(Machine& machine)>;
+
+  HeartbeatProcessor(const transport::Clock& clock, ClusterState& cluster, const Election& election,
+                     const Settings& settings, MachineHealth& health, TaskEvictor& evictor,
+                     TaskReconciler& reconciler, const RemovedMachines& removed_machines,
+                     OnFirstHeartbeat on_first_heartbeat);
+
+  /// What was processed since the counts were last taken.
+  struct Counts {
+    std::size_t heartbeats = 0;
+    std::size_t reported_tasks = 0;
+  };
+
+  /// Begins a term of leadership under the present fencing token.
+  void begin_term();
+  /// Whether the token is one of this term: the one that it began with, or a later one.
+  bool is_of_this_term(std::uint64_t fencing_token) const;
+
+  /// Whether the machine is known to be gone, so that its heartbeats are late copies.
+  bool is_removed(const std::string& machine_name) const {
+    return removed_machines_.contains(machine_name);
+  }
+  /// Whether the heartbeat is newer than all that is known of its machine.
+  static bool is_newer(const protocol::Heartbeat& heartbeat, const Machine& machine);
+  /// Takes the heartbeat in, and returns the commands for its worker.
+  Commands process(const protocol::Heartbeat& heartbeat, HeartbeatSource source);
+  Counts take_counts() { return std::exchange(counts_, {}); }
+
+ private:
+  void begin_incarnation(Machine& machine, const protocol::Heartbeat& heartbeat);
+  void register_machine(Machine& machine, const protocol::Heartbeat& heartbeat);
+  void update_machine(Machine& machine, const protocol::Heartbeat& heartbeat,
+                      HeartbeatSource source);
+  static void drop_fenced_launches(Machine& machine, const protocol::Heartbeat& heartbeat,
+                                   HeartbeatSource source);
+  void update_reclaim_notice(Machine& machine, const protocol::Heartbeat& heartbeat);
+
+  const transport::Clock& clock_;
+  ClusterState& cluster_;
+  const Election& election_;
+  const Settings& settings_;
+  MachineHealth& health_;
+  TaskEvictor& evictor_;
+  TaskReconciler& reconciler_;
+  const RemovedMachines& removed_machines_;
+  OnFirstHeartbeat on_first_heartbeat_;
+  Counts counts_;
+  Seconds term_began_at_ = 0;
+  std::uint64_t first_fencing_token_ = 0;  // of this term, before it was ever raised
+};
+
+}  // namespace larkroad::coordination
--- /dev/null
+++ b/src/coordination/workers/task_reconciler.cpp
@@ -0,0 +1,282 @@
+#include "coordination/workers/task_reconciler.hpp"
+
+#include <set>
+#include <utility>
+
+#include "log.hpp"
+
+namespace larkroad::coordination {
+namespace {
+
+using protocol::CommandType;
+using protocol::ExitCause;
+using protocol::TaskStatus;
+
+// Exited tasks that a machine retains for want of a higher token, before that is raised for them.
+constexpr int kMaxRetainedExits = 6;
+
+constexpr const char* kAbsentReason = "not on its machine";
+
+const char* state_name(TaskState state) {
+  switch (state) {
+    case TaskState::fetching:
+      return "fetching";
+    case TaskState::waiting:
+      return "waiting";
+    case TaskState::running:
+      return "running";
+    case TaskState::saving:
+      return "saving";
+    case TaskState::exited:
+      return "exited";
+  }
+  return "unknown";
+}
+
+// Whether the exit of one task ends the attempt of others.
+bool has_other_members(const JobSpec& spec) { return spec.is_gang() && spec.tasks > 1; }
+
+}  // namespace
+
+TaskReconciler::TaskReconciler(const transport::Clock& clock, ClusterState& cluster,
+                               const Election& election, CommandDispatcher& dispatcher,
+                               FailureTracker& failures, Callbacks callbacks)
+    : clock_(clock),
+      cluster_(cluster),
+      election_(election),
+      dispatcher_(dispatcher),
+      failures_(failures),
+      callbacks_(std::move(callbacks)) {}
+
+Commands TaskReconciler::reconcile(Machine& machine, const protocol::Heartbeat& heartbeat,
+                                   HeartbeatSource source) {
+  Commands commands;
+  machine.retained_exits = 0;
+  for (const auto& task : heartbeat.tasks) reconcile_task(machine, task, commands);
+  reconcile_absent_tasks(machine, heartbeat, source, commands);
+  return commands;
+}
+
+// The placement that the reported task belongs to; null when there is none.
+Placement* TaskReconciler::find_placement(const Machine& machine, const TaskStatus& task) {
+  Job* job = cluster_.job(task.id.job);
+  if (job == nullptr) return nullptr;
+  const auto it = job->placements.find(task.id.task);
+  if (it == job->placements.end()) return nullptr;
+  Placement& placement = it->second;
+  const bool same = placement.machine == machine.name && placement.attempt == task.attempt &&
+                    placement.incarnation == machine.incarnation &&
+                    placement.stage != Placement::Stage::persisting;
+  return same ? &placement : nullptr;
+}
+
+void TaskReconciler::reconcile_task(Machine& machine, const TaskStatus& task, Commands& commands) {
+  if (task.state == TaskState::exited) {
+    reconcile_exited_task(machine, task, commands);
+    return;
+  }
+  Placement* placement = find_placement(machine, task);
+  if (placement == nullptr) {
+    // No record wants it: it is left of a job that is over.
+    commands.push_back({CommandType::kill, task.id, task.attempt, 0});
+    return;
+  }
+  update_placement(machine, *cluster_.job(task.id.job), *placement, task.state);
+  // One that saves is left to it, unless it has no grace any more: the first such command may have
+  // been lost.
+  if (placement->stopping && (task.state != TaskState::saving || placement->grace_s <= 0)) {
+    placement->stop_sent = clock_.now();
+    commands.push_back({CommandType::kill, task.id, task.attempt, placement->grace_s});
+  }
+}
+
+void TaskReconciler::update_placement(Machine& machine, Job& job, Placement& placement,
+                                      TaskState state) {
+  const Seconds now = clock_.now();
+  if (placement.stage != Placement::Stage::acknowledged || placement.state != state) {
+    spdlog::debug("task state task={}/{} attempt={} machine={} state={}", job.id(), placement.task,
+                  placement.attempt, machine.name, state_name(state));
+  }
+  const bool has_image = state != TaskState::fetching;
+  if (has_image && placement.state == TaskState::fetching) {
+    FailureTracker::record_start(machine, job);
+  }
+  placement.stage = Placement::Stage::acknowledged;
+  placement.recovered = false;
+  placement.state = state;
+  if (has_image) {
+    const MachineType* type = cluster_.type(machine.type);
+    machine.touch_image(job.spec.image, job.spec.image_gb, type ? type->cache_gb : 0, now);
+  }
+  if (state != TaskState::running) return;
+  if (placement.running_since < 0) placement.running_since = now;
+  if (job.spec.is_service()) failures_.record_running_replica(machine, job, placement);
+  job.gang_started = job.spec.is_gang();
+  job.seen_running = true;
+}
+
+void TaskReconciler::reconcile_exited_task(Machine& machine, const TaskStatus& task,
+                                           Commands& commands) {
+  if (find_placement(machine, task) != nullptr) {
+    handle_exit(machine, *cluster_.job(task.id.job), task);
+  }
+  // After `forget`, a launch that is still on its way would run the task once more.
+  const auto launch = machine.unresolved_launches.find({task.id, task.attempt});
+  if (launch != machine.unresolved_launches.end()) {
+    if (launch->second.answer_to == 0) dispatcher_.require_fencing_of(launch->second);
+    return;
+  }
+  if (is_durable(task) && may_forget(machine, task)) {
+    commands.push_back({CommandType::forget, task.id, task.attempt, 0});
+  }
+}
+
+// Whether the worker's copy of the task's result is not needed any more.
+bool TaskReconciler::is_durable(const TaskStatus& task) const {
+  if (task.cause != ExitCause::done) return true;
+  const Job* job = cluster_.job(task.id.job);
+  return job == nullptr || !job->unpersisted_done.contains(task.id.task);
+}
+
+// A copy of a direct launch may still come to a machine that has forgotten the task: what failed or
+// was stopped there and runs on another machine by now would run twice, and even one that is done
+// takes its room once more, beyond its team's limit perhaps. So a task is retained there until the
+// worker has seen a higher token than that of its launch; when many are, the token is raised for
+// them.
+bool TaskReconciler::may_forget(Machine& machine, const TaskStatus& task) {
+  const auto launch = machine.direct_launches.find({task.id, task.attempt});
+  if (launch == machine.direct_launches.end()) return true;
+  if (launch->second >= machine.seen_fencing_token) {
+    if (++machine.retained_exits > kMaxRetainedExits) dispatcher_.require_fencing();
+    return false;
+  }
+  machine.direct_launches.erase(launch);
+  return true;
+}
+
+void TaskReconciler::handle_exit(Machine& machine, Job& job, const TaskStatus& task) {
+  const char* cause = protocol::cause_name(task.cause);
+  spdlog::info("task exited task={} attempt={} machine={} cause={} saved={}", task.id.text(),
+               task.attempt, machine.name, cause, task.saved);
+  const Placement& placement = job.placements.at(task.id.task);
+  switch (task.cause) {
+    case ExitCause::done:
+      if (!job.spec.is_service()) {
+        complete(machine, job, task.id.task);
+        return;
+      }
+      failures_.record_replica_exit(job, placement);
+      break;
+    case ExitCause::error:
+      failures_.record_failure(machine, job, placement);
+      break;
+    case ExitCause::full:
+      failures_.record_refusal(machine);
+      break;
+    case ExitCause::busy:
+    case ExitCause::unknown:
+      failures_.back_off(job);
+      break;
+    default:
+      break;
+  }
+  callbacks_.task_gone(job, task.id.task, cause);
+  // A gang's attempt ends with the exit of any of its tasks. The worker remembers the attempt, so
+  // launching it there again would have no effect; the rest starts anew under the next one.
+  if (has_other_members(job.spec)) callbacks_.abort_gang_attempt(job, cause);
+}
+
+void TaskReconciler::complete(Machine& machine, Job& job, std::uint32_t task) {
+  const Seconds now = clock_.now();
+  FailureTracker::record_success(machine);
+  const Placement& placement = job.placements.at(task);
+  if (placement.running_since >= 0) cluster_.learn_run(job.spec, now - placement.running_since);
+  cluster_.finish(job, task, now);
+  callbacks_.persist(job);
+  callbacks_.request_plan();
+}
+
+void TaskReconciler::reconcile_absent_tasks(Machine& machine, const protocol::Heartbeat& heartbeat,
+                                            HeartbeatSource source, Commands& commands) {
+  std::set<LaunchKey> reported;
+  for (const auto& task : heartbeat.tasks) reported.insert({task.id, task.attempt});
+  const auto tasks = machine.tasks;  // a copy: what follows may change it
+  for (const auto& id : tasks) {
+    Job* job = cluster_.job(id.job);
+    if (job == nullptr) continue;
+    const auto it = job->placements.find(id.task);
+    if (it == job->placements.end()) continue;
+    Placement& placement = it->second;
+    if (placement.machine != machine.name || placement.stage == Placement::Stage::persisting ||
+        reported.contains({id, placement.attempt})) {
+      continue;
+    }
+    reconcile_absent_task(machine, *job, placement, source, commands);
+  }
+}
+
+void TaskReconciler::reconcile_absent_task(Machine& machine, Job& job, Placement& placement,
+                                           HeartbeatSource source, Commands& commands) {
+  const LaunchKey key{{job.id(), placement.task}, placement.attempt};
+  const auto launch = machine.unresolved_launches.find(key);
+  const bool unresolved = launch != machine.unresolved_launches.end();
+  if (placement.stopping || job.cancelled) {
+    if (!unresolved) {
+      callbacks_.task_gone(job, placement.task, kAbsentReason);
+    } else if (!launch->second.pending) {
+      // The launch may still arrive: a higher token rules that out once the worker has seen it.
+      dispatcher_.require_fencing_of(launch->second);
+    }
+    return;
+  }
+  if (placement.recovered) {
+    // Not to be launched again as it stands: its room and its part of the team's limit may have
+    // gone to others since. Once the worker has seen this leader's token nothing of an earlier
+    // one can start it any more, and it queues like any other task.
+    if (!unresolved) callbacks_.task_gone(job, placement.task, kAbsentReason);
+    return;
+  }
+  if (unresolved && launch->second.pending) return;
+  // To be repeated in the response to a heartbeat only: that is never carried out late. Until the
+  // next heartbeat it may be under way, though; without this a task that was stopped meanwhile
+  // counted as gone, by the answer to the stop, and was started by the late response as well as on
+  // another machine.
+  if (source != HeartbeatSource::worker) return;
+  placement.stage = Placement::Stage::dispatched;
+  machine.unresolved_launches.try_emplace(
+      key, UnresolvedLaunch{election_.fencing_token(), true, machine.sequence});
+  commands.push_back({CommandType::launch, key.first, placement.attempt, 0});
+}
+
+void TaskReconciler::end_incarnations_before(Machine& machine, std::uint64_t incarnation) {
+  const auto tasks = machine.tasks;  // a copy: what follows may change it
+  machine.unresolved_launches.clear();
+  machine.direct_launches.clear();
+  for (const auto& id : tasks) {
+    Job* job = cluster_.job(id.job);
+    if (job == nullptr) continue;
+    const auto it = job->placements.find(id.task);
+    if (it == job->placements.end() || it->second.incarnation >= incarnation) continue;
+    if (it->second.stage == Placement::Stage::persisting) {
+      // Its record names an incarnation that is over: nothing of it was sent. Decide anew.
+      cluster_.unplace(*job, id.task, clock_.now());
+      callbacks_.request_plan();
+    } else {
+      callbacks_.task_gone(
+          *job, id.task,
+          "machine " + machine.name + " began incarnation " + std::to_string(incarnation));
+    }
+  }
+}
+
+void TaskReconciler::end_all_tasks(Machine& machine, const std::string& reason) {
+  const auto tasks = machine.tasks;  // a copy: what follows may change it
+  for (const auto& id : tasks) {
+    Job* job = cluster_.job(id.job);
+    if (job != nullptr && job->placements.contains(id.task)) {
+      callbacks_.task_gone(*job, id.task, reason);
+    }
+  }
+}
+
+}  // namespace larkroad::coordination
