--- a/src/coordination/election/election.cpp
+++ b/src/coordination/election/election.cpp
@@ -1,28 +1,25 @@
 #include "coordination/election/election.hpp"
 
 #include <algorithm>
+#include <utility>
 
 #include "log.hpp"
+#include "protocol/json.hpp"
 #include "storage/records.hpp"
 
 namespace larkroad::coordination {
 namespace {
 
-// The leader's lease, as a part of the workers' lease: a crashed leader is replaced well before
-// any worker's lease runs out.
-constexpr double kLeaseRatio = 1.0 / 6;
-constexpr double kRenewRatio = 1.0 / 4;   // of the leader's lease
-constexpr double kRetryRatio = 1.0 / 16;  // of the leader's lease
-constexpr double kViewRatio = 1.0 / 4;    // of the leader's lease
-// A leader whose watch on the jobs goes unanswered for so many of its leases, while its renewals
-// are answered, gives up; it leaves the election to the others for so many.
-constexpr double kViewPatience = 4;
-constexpr double kViewAbstains = 2;
-// Steady clocks drift apart by 0.05%; twice that, and a step of a timer, is kept as a margin.
-constexpr double kDrift = 0.001;
-constexpr Seconds kTimerStep = 0.02;
-// What is kept free between the end of a retained worker's lease and the time a cancellation has.
-constexpr double kRetentionMargin = 0.15;  // of the workers' lease
+using storage::RequestPriority;
+
+// Intervals, as parts of the leader's lease.
+constexpr double kRenewRatio = 1.0 / 4;
+constexpr double kRetryRatio = 1.0 / 16;
+constexpr double kViewRatio = 1.0 / 4;
+// For how many of its leases a leader with an overdue view leaves the election to its peers.
+constexpr double kOverdueViewAbstention = 2;
+// As a precondition: the key must not exist.
+constexpr std::uint64_t kNoKey = 0;
 
 }  // namespace
 
@@ -32,271 +29,286 @@
       store_(store),
       settings_(settings),
       events_(std::move(events)),
-      life_(settings.lease_s * kLeaseRatio),
-      retention_(std::max(0.0, settings.cancellation_limit_s -
-                                   settings.lease_s * (1 + kRetentionMargin + 2 * kDrift))) {}
+      lease_duration_(LeaderLease::duration(settings)),
+      term_scope_(clock) {}
 
-void Election::start() { look(); }
+void Election::start() { read_leader_key(); }
 
-bool Election::holds_lease() const {
-  return fencing_token_ != 0 && clock_.now() < renewed_at_ + life_ * (1 - kDrift) - kTimerStep;
-}
+bool Election::holds_lease() const { return term_ && term_->lease.is_held(clock_.now()); }
 
-bool Election::leads() const {
-  return holds_lease() && viewed_at_ && clock_.now() < *viewed_at_ + life_ * (1 - kDrift);
-}
+bool Election::leads() const { return term_ && term_->lease.allows_acting(clock_.now()); }
 
 bool Election::may_answer_reports() const {
-  if (leads()) return true;
-  // A cancellation that this leader does not know came after both of these.
-  return fencing_token_ != 0 && viewed_at_ &&
-         clock_.now() < std::min(renewed_at_, *viewed_at_) + retention_ * (1 - kDrift);
+  return term_ && term_->lease.allows_answering_heartbeats(clock_.now());
 }
 
 void Election::view_proved(Seconds sent) {
-  if (fencing_token_ == 0) return;
-  viewed_at_ = std::max(viewed_at_.value_or(sent), sent);
+  if (term_) term_->lease.confirm_view(sent);
 }
 
-Seconds Election::view_interval() const { return life_ * kViewRatio; }
+Seconds Election::view_interval() const { return lease_duration_ * kViewRatio; }
 
-void Election::look() {
+// ------------------------------------------------------------ following the leader key
+
+void Election::read_leader_key() {
   store_.get(
       storage::kLeaderKey,
-      [this](Status status, storage::Entry entry) {
+      [this](Status status, const storage::Entry& entry) {
         if (status == Status::ok) {
-          watched_to_ = std::max(watched_to_, entry.revision);
-          saw(entry.revision, entry.data);
-          watch();
+          watched_revision_ = std::max(watched_revision_, entry.revision);
+          observe_leader(entry.revision, entry.data);
+          watch_leader_key();
         } else if (status == Status::missing) {
-          saw_none();
-          watch();
+          observe_no_leader();
+          watch_leader_key();
         } else {
-          clock_.after(life_ * kRetryRatio, [this] { look(); });
+          clock_.after(lease_duration_ * kRetryRatio, [this] { read_leader_key(); });
         }
       },
-      storage::RequestPriority::lease);
+      RequestPriority::lease);
 }
 
-void Election::watch() {
-  // Short blocks: a watch that a cut swallowed must not hide a change of leader for long.
-  store_.watch(storage::kLeaderKey, watched_to_, life_, [this](storage::WatchReply reply) {
-    if (reply.status == Status::ok) {
-      watched_to_ = std::max(watched_to_, reply.revision);
-      if (!reply.events.empty()) {
-        const auto& last = reply.events.back();
-        if (last.deleted) {
-          saw_none();
-        } else {
-          saw(last.revision, last.data);
-        }
-      } else if (leader_.empty() && fencing_token_ == 0) {
-        campaign(0);
-      }
-      watch();
-      return;
-    }
-    if (reply.status == Status::too_old) {
-      look();
-      return;
-    }
-    clock_.after(life_ * kRetryRatio, [this] { look(); });
-  });
+void Election::watch_leader_key() {
+  // Blocks for one lease only: a watch whose answer is lost must not hide a change of the leader
+  // for long.
+  store_.watch(storage::kLeaderKey, watched_revision_, lease_duration_,
+               [this](const storage::WatchReply& reply) { handle_watch_reply(reply); });
+}
+
+void Election::handle_watch_reply(const storage::WatchReply& reply) {
+  if (reply.status == Status::ok) {
+    handle_watch_events(reply);
+    watch_leader_key();
+  } else if (reply.status == Status::too_old) {
+    read_leader_key();
+  } else {
+    clock_.after(lease_duration_ * kRetryRatio, [this] { read_leader_key(); });
+  }
+}
+
+void Election::handle_watch_events(const storage::WatchReply& reply) {
+  watched_revision_ = std::max(watched_revision_, reply.revision);
+  if (reply.events.empty()) {
+    if (leader_.empty()) campaign(kNoKey);
+    return;
+  }
+  const storage::Event& last = reply.events.back();
+  if (last.deleted) {
+    observe_no_leader();
+  } else {
+    observe_leader(last.revision, last.data);
+  }
 }
 
-void Election::saw(std::uint64_t revision, const storage::Json& data) {
+void Election::observe_leader(std::uint64_t revision, const storage::Json& data) {
   if (revision < leader_revision_) return;
+  const LeaderRecord record = parse_leader_record(data);
   leader_revision_ = revision;
-  leader_ = protocol::text(data, "member");
-  if (fencing_token_ != 0) {
-    const bool mine = leader_ == settings_.member && protocol::integer(data, "lease") == lease_;
-    if (!mine && revision > fencing_token_) lose("a newer leader holds the key: " + leader_);
+  leader_ = record.member;
+  const bool own_member = record.member == settings_.member;
+  if (term_) {
+    const bool own_key = own_member && record.lease_id == term_->lease_id;
+    if (!own_key && revision > term_->fencing_token) {
+      end_term("a newer leader holds the key: " + leader_);
+    }
     return;
   }
-  if (leader_ == settings_.member && !campaigning_) {
-    // A key of this member's earlier life: that process has ended, so nobody else can act on it.
-    campaign(revision);
-  }
+  // A key of an earlier process of this member: that process has ended, so nobody else can act
+  // under the key, and it can be replaced before its lease expires.
+  if (own_member) campaign(revision);
 }
 
-void Election::saw_none() {
+void Election::observe_no_leader() {
   leader_.clear();
-  if (fencing_token_ != 0) {
-    lose("the key is gone");
-  }
-  campaign(0);
+  end_term("the leader key was deleted");
+  campaign(kNoKey);
 }
 
+// ------------------------------------------------------------ becoming the leader
+
 void Election::campaign(std::uint64_t replaced_revision) {
-  if (campaigning_ || fencing_token_ != 0) return;
-  if (clock_.now() < abstains_until_) return;  // the watch brings the next chance
-  campaigning_ = true;
-  grant_sent_ = clock_.now();
-  store_.grant(life_, [this, replaced_revision](Status status, std::uint64_t lease) {
+  // Whatever stops a campaign, the next reply to the watch brings another chance.
+  if (candidacy_ || term_) return;
+  if (abstains_until_ && clock_.now() < *abstains_until_) return;
+  candidacy_ = Candidacy{clock_.now()};
+  store_.grant(lease_duration_, [this, replaced_revision](Status status, std::uint64_t lease_id) {
     if (status != Status::ok) {
-      campaigning_ = false;
-      return;  // the watch brings the next chance
+      candidacy_.reset();
+      return;
     }
-    lease_ = lease;
-    write_key(replaced_revision);
+    candidacy_->lease_id = lease_id;
+    write_leader_key(replaced_revision);
   });
 }
 
-void Election::write_key(std::uint64_t replaced_revision) {
-  storage::Transaction txn;
-  txn.preconditions.push_back({storage::kLeaderKey, replaced_revision});
-  txn.writes.push_back(
-      {storage::kLeaderKey, {{"member", settings_.member}, {"lease", lease_}}, lease_});
-  const auto wanted = [this] { return clock_.now() < grant_sent_ + life_; };
+void Election::write_leader_key(std::uint64_t replaced_revision) {
+  const std::uint64_t lease_id = candidacy_->lease_id;
+  storage::Transaction transaction;
+  transaction.preconditions.push_back({storage::kLeaderKey, replaced_revision});
+  transaction.writes.push_back({storage::kLeaderKey, leader_record(lease_id), lease_id});
+  const Seconds expires_at = candidacy_->grant_sent_at + lease_duration_;
   store_.commit_until_certain(
-      std::move(txn), wanted,
-      [this](storage::CommitReply reply) {
-        campaigning_ = false;
-        if (reply.status == Status::ok) {
-          won(reply.revision);
-          return;
-        }
-        // Lost, or not known and the lease has run out: a late copy of this write then fails for
-        // want of its lease, or makes a key that ends with it.
-        store_.release(lease_);
-        lease_ = 0;
-      },
-      storage::RequestPriority::lease);
+      std::move(transaction), [this, expires_at] { return clock_.now() < expires_at; },
+      [this](const storage::CommitReply& reply) { handle_campaign_reply(reply); },
+      RequestPriority::lease);
 }
 
-void Election::won(std::uint64_t revision) {
-  ++epoch_;
-  fencing_token_ = revision;
-  renewed_at_ = grant_sent_;
-  viewed_at_.reset();
-  renewing_since_ = -1;
+void Election::handle_campaign_reply(const storage::CommitReply& reply) {
+  const Candidacy candidacy = *candidacy_;
+  candidacy_.reset();
+  if (reply.status == Status::ok) {
+    begin_term(candidacy, reply.revision);
+    return;
+  }
+  // Lost, or not known and the lease has expired: a late copy of the write then fails for want of
+  // its lease, or creates a key that ends with it.
+  store_.release(candidacy.lease_id);
+}
+
+void Election::begin_term(const Candidacy& candidacy, std::uint64_t revision) {
+  term_scope_.restart();
+  term_ = Term{revision, candidacy.lease_id, LeaderLease(settings_, candidacy.grant_sent_at)};
   leader_ = settings_.member;
   leader_revision_ = std::max(leader_revision_, revision);
-  spdlog::info("leads with token {}", fencing_token_);
+  spdlog::info("leader elected: token={}", revision);
   events_.elected();
-  clock_.after(life_ * kRenewRatio, [this, epoch = epoch_] {
-    if (epoch == epoch_) renew();
-  });
+  term_scope_.after(lease_duration_ * kRenewRatio, [this] { renew_lease(); });
 }
 
-void Election::renew() {
-  if (fencing_token_ == 0) return;
-  const Seconds sent = clock_.now();
-  store_.extend(lease_, [this, sent, epoch = epoch_](Status status) {
-    if (epoch != epoch_ || fencing_token_ == 0) return;
-    if (status == Status::missing) {
-      lose("its lease has ended");
-      campaign(0);
-      return;
-    }
-    Seconds pause = life_ * kRetryRatio;
-    if (status != Status::ok) renewing_since_ = -1;
-    if (status == Status::ok) {
-      pause = life_ * kRenewRatio;
-      if (holds_lease()) {
-        renewed_at_ = std::max(renewed_at_, sent);
-      } else {
-        // Past its lease by its own clock, yet the lease is alive (an outage gives every lease
-        // its full time again). It acts again once it has seen that the key is still its own.
-        confirm();
-      }
-      check_view(sent);
-      if (epoch != epoch_) return;
-    }
-    clock_.after(std::max(0.0, pause - (clock_.now() - sent)), [this, epoch] {
-      if (epoch == epoch_) renew();
-    });
-  });
+// ------------------------------------------------------------ staying the leader
+
+void Election::renew_lease() {
+  if (!term_) return;
+  const Seconds sent_at = clock_.now();
+  store_.extend(term_->lease_id, term_scope_.wrap([this, sent_at](Status status) {
+    handle_renewal(status, sent_at);
+  }));
 }
 
-// A leader without a fresh view starts nothing, and with its lease renewed nobody could take its
-// place. In an outage renewals go unanswered too, so the time counts from the first that is
-// answered.
-void Election::check_view(Seconds sent) {
-  if (renewing_since_ < 0) renewing_since_ = sent;
-  if (!viewed_at_) return;
-  const Seconds stale_since = std::max(*viewed_at_, renewing_since_);
-  if (sent - stale_since <= life_ * kViewPatience) return;
-  step_down("its watch on the jobs is not answered, though its lease is renewed",
-            life_ * kViewAbstains);
+void Election::handle_renewal(Status status, Seconds sent_at) {
+  if (status == Status::missing) {
+    end_term("its lease has expired");
+    campaign(kNoKey);
+    return;
+  }
+  if (status != Status::ok) {
+    term_->lease.renewal_failed();
+    schedule_renewal(lease_duration_ * kRetryRatio, sent_at);
+    return;
+  }
+  if (holds_lease()) {
+    term_->lease.renewed(sent_at);
+  } else {
+    // Past its lease by this controller's clock, yet the lease is alive: after an outage the store
+    // gives every lease its full time again. The leader acts again once it has seen that the key is
+    // still its own.
+    verify_leader_key();
+  }
+  term_->lease.renewal_answered(sent_at);
+  if (term_->lease.is_view_overdue(sent_at)) {
+    step_down("its watch on the jobs is not answered, though its lease is renewed",
+              lease_duration_ * kOverdueViewAbstention);
+    return;
+  }
+  schedule_renewal(lease_duration_ * kRenewRatio, sent_at);
 }
 
-void Election::confirm() {
-  if (confirming_) return;
-  confirming_ = true;
-  const Seconds sent = clock_.now();
+void Election::schedule_renewal(Seconds pause, Seconds sent_at) {
+  const Seconds elapsed = clock_.now() - sent_at;
+  term_scope_.after(std::max(0.0, pause - elapsed), [this] { renew_lease(); });
+}
+
+void Election::verify_leader_key() {
+  if (verification_in_flight_) return;
+  verification_in_flight_ = true;
+  const Seconds sent_at = clock_.now();
   store_.get(
       storage::kLeaderKey,
-      [this, sent, epoch = epoch_](Status status, storage::Entry entry) {
-        confirming_ = false;
-        if (epoch != epoch_ || fencing_token_ == 0) return;
-        if (status == Status::ok && entry.revision == fencing_token_) {
-          // The read proves the key was there after `sent`, and the lease was renewed before
-          // it.
-          store_.extend(lease_, [this, sent, epoch](Status renewed) {
-            if (epoch != epoch_ || fencing_token_ == 0 || renewed != Status::ok) return;
-            spdlog::info("leads again with token {}", fencing_token_);
-            renewed_at_ = std::max(renewed_at_, sent);
-          });
-        } else if (status == Status::ok || status == Status::missing) {
-          lose("the key is no longer its own");
-          if (status == Status::missing) campaign(0);
-        }
+      [this, sent_at, is_current = term_scope_.is_current()](Status status,
+                                                             const storage::Entry& entry) {
+        verification_in_flight_ = false;  // also when its term has ended meanwhile
+        if (is_current()) handle_verification(status, entry.revision, sent_at);
       },
-      storage::RequestPriority::lease);
+      RequestPriority::lease);
 }
 
-void Election::lose(const std::string& why) {
-  if (fencing_token_ == 0) return;
-  spdlog::info("no longer leads with token {}: {}", fencing_token_, why);
-  ++epoch_;
-  fencing_token_ = 0;
-  raising_ = false;
-  if (leader_ == settings_.member) leader_.clear();
-  if (lease_ != 0) store_.release(lease_);
-  lease_ = 0;
-  events_.deposed();
+void Election::handle_verification(Status status, std::uint64_t revision, Seconds sent_at) {
+  if (status == Status::ok && revision == term_->fencing_token) {
+    // The key was there after `sent_at`. This renewal proves that its lease has not expired since,
+    // so the key was its own all the time from then on.
+    store_.extend(term_->lease_id, term_scope_.wrap([this, sent_at](Status renewed) {
+      if (renewed != Status::ok) return;
+      spdlog::info("leader lease confirmed: token={}", term_->fencing_token);
+      term_->lease.renewed(sent_at);
+    }));
+  } else if (status == Status::ok) {
+    end_term("the leader key is no longer its own");
+  } else if (status == Status::missing) {
+    end_term("the leader key is no longer its own");
+    campaign(kNoKey);
+  }
 }
 
-void Election::resign(const std::string& why) {
-  if (fencing_token_ == 0) return;
-  lose(why);
+void Election::raise_fencing_token() {
+  if (!holds_lease() || term_->raise_in_flight) return;
+  term_->raise_in_flight = true;
+  storage::Json record = leader_record(term_->lease_id);
+  record["raised"] = term_->fencing_token;
+  storage::Transaction transaction;
+  transaction.preconditions.push_back({storage::kLeaderKey, term_->fencing_token});
+  transaction.writes.push_back({storage::kLeaderKey, std::move(record), term_->lease_id});
+  store_.commit_until_certain(
+      std::move(transaction), term_scope_.is_current(),
+      term_scope_.wrap([this](const storage::CommitReply& reply) { handle_raised_token(reply); }),
+      RequestPriority::lease);
 }
 
-void Election::step_down(const std::string& why, Seconds abstain) {
-  if (fencing_token_ == 0) return;
-  abstains_until_ = clock_.now() + abstain;
-  lose(why);
+void Election::handle_raised_token(const storage::CommitReply& reply) {
+  term_->raise_in_flight = false;
+  if (reply.status == Status::ok) {
+    spdlog::info("fencing token raised: token={} previous_token={}", reply.revision,
+                 term_->fencing_token);
+    term_->fencing_token = reply.revision;
+    leader_revision_ = std::max(leader_revision_, reply.revision);
+  } else if (reply.status == Status::conflict) {
+    end_term("the leader key has changed");
+  }
 }
 
+// ------------------------------------------------------------ ending a term
+
 void Election::superseded(std::uint64_t fencing_token) {
-  if (fencing_token_ == 0 || fencing_token <= fencing_token_) return;
-  lose("a newer token has been seen: " + std::to_string(fencing_token));
+  if (!term_ || fencing_token <= term_->fencing_token) return;
+  end_term("a higher fencing token has been observed: " + std::to_string(fencing_token));
 }
 
-void Election::raise_fencing_token() {
-  if (!holds_lease() || raising_) return;
-  raising_ = true;
-  storage::Transaction txn;
-  txn.preconditions.push_back({storage::kLeaderKey, fencing_token_});
-  txn.writes.push_back(
-      {storage::kLeaderKey,
-       {{"member", settings_.member}, {"lease", lease_}, {"raised", fencing_token_}},
-       lease_});
-  store_.commit_until_certain(
-      std::move(txn), [this, epoch = epoch_] { return epoch == epoch_ && fencing_token_ != 0; },
-      [this, epoch = epoch_](storage::CommitReply reply) {
-        if (epoch != epoch_ || fencing_token_ == 0) return;
-        raising_ = false;
-        if (reply.status == Status::ok) {
-          spdlog::info("raised its token from {} to {}", fencing_token_, reply.revision);
-          fencing_token_ = reply.revision;
-          leader_revision_ = std::max(leader_revision_, fencing_token_);
-        } else if (reply.status == Status::conflict) {
-          lose("the key has changed");
-        }
-      },
-      storage::RequestPriority::lease);
+void Election::resign(const std::string& reason) { end_term(reason); }
+
+void Election::step_down(const std::string& reason, Seconds abstention) {
+  if (!term_) return;
+  abstains_until_ = clock_.now() + abstention;
+  end_term(reason);
+}
+
+void Election::end_term(const std::string& reason) {
+  if (!term_) return;
+  spdlog::info("leadership lost: token={} reason={}", term_->fencing_token, reason);
+  const std::uint64_t lease_id = term_->lease_id;
+  term_scope_.restart();
+  term_.reset();
+  if (leader_ == settings_.member) leader_.clear();
+  store_.release(lease_id);
+  events_.deposed();
+}
+
+// ------------------------------------------------------------ the leader's record
+
+storage::Json Election::leader_record(std::uint64_t lease_id) const {
+  return {{"member", settings_.member}, {"lease", lease_id}};
+}
+
+Election::LeaderRecord Election::parse_leader_record(const storage::Json& data) {
+  return {protocol::text(data, "member"), protocol::integer(data, "lease")};
 }
 
 }  // namespace larkroad::coordination
