--- a/src/coordination/membership/member_versions.cpp
+++ b/src/coordination/membership/member_versions.cpp
@@ -1,6 +1,8 @@
 #include "coordination/membership/member_versions.hpp"
 
 #include <algorithm>
+#include <optional>
+#include <string_view>
 
 #include "log.hpp"
 #include "storage/records.hpp"
@@ -13,6 +15,12 @@
 // Failed calls are repeated, and missing versions looked for, after this part of the workers'
 // lease.
 constexpr double kRetryRatio = 1.0 / 8;
+// As a precondition: the record must not exist.
+constexpr std::uint64_t kNoRecord = 0;
+
+std::string member_of(const std::string& version_key) {
+  return version_key.substr(std::string_view(storage::kVersionPrefix).size());
+}
 
 }  // namespace
 
@@ -21,87 +29,95 @@
     : clock_(clock), store_(store), settings_(settings) {}
 
 void MemberVersions::start() {
-  heard_[settings_.member] = kOwnVersion;
-  record_own();
-  read_all();
+  reported_[settings_.member] = kOwnVersion;
+  record_own_version();
+  poll_records();
 }
 
 void MemberVersions::peer_reported(const std::string& member, RecordVersion version) {
-  RecordVersion& known = heard_[member];
+  RecordVersion& known = reported_[member];
   if (known == version) return;
   known = version;
-  spdlog::info("controller {} runs version {} of the records", member, version);
-  drop_outdated(member);
-  read_all();
+  spdlog::info("controller version reported: member={} version={}", member, version);
+  delete_outdated_record(member);
+  poll_records();
 }
 
 bool MemberVersions::all_understand(RecordVersion version) const {
-  const auto understands = [&](const std::string& member) {
-    if (const auto it = heard_.find(member); it != heard_.end()) return it->second >= version;
-    const auto it = recorded_.find(member);
-    return it != recorded_.end() && it->second.version >= version;
-  };
-  return understands(settings_.member) &&
+  return understands(settings_.member, version) &&
          std::all_of(settings_.peers.begin(), settings_.peers.end(),
-                     [&](const PeerSettings& peer) { return understands(peer.member); });
+                     [&](const PeerSettings& peer) { return understands(peer.member, version); });
+}
+
+bool MemberVersions::understands(const std::string& member, RecordVersion version) const {
+  if (const auto reported = reported_.find(member); reported != reported_.end()) {
+    return reported->second >= version;
+  }
+  const auto recorded = recorded_.find(member);
+  return recorded != recorded_.end() && recorded->second.version >= version;
 }
 
-void MemberVersions::record_own() {
-  store_.get(storage::version_key(settings_.member), [this](Status status, storage::Entry entry) {
+void MemberVersions::record_own_version() {
+  const auto handle_record = [this](Status status, const storage::Entry& entry) {
     if (status == Status::missing) {
-      write_own(0);
+      write_own_version(kNoRecord);
     } else if (status != Status::ok) {
-      clock_.after(settings_.lease_s * kRetryRatio, [this] { record_own(); });
+      clock_.after(settings_.lease_s * kRetryRatio, [this] { record_own_version(); });
     } else if (storage::decode_version(entry.data) != kOwnVersion) {
-      write_own(entry.revision);
+      write_own_version(entry.revision);
     }
-  });
+  };
+  store_.get(storage::version_key(settings_.member), handle_record);
 }
 
-void MemberVersions::write_own(std::uint64_t replaced_revision) {
+void MemberVersions::write_own_version(std::uint64_t replaced_revision) {
   const std::string key = storage::version_key(settings_.member);
-  storage::Transaction txn;
-  txn.preconditions.push_back({key, replaced_revision});
-  txn.writes.push_back({key, storage::encode_version(kOwnVersion), std::nullopt});
-  store_.commit(txn, [this](const storage::CommitReply& reply) {
+  storage::Transaction transaction;
+  transaction.preconditions.push_back({key, replaced_revision});
+  transaction.writes.push_back({key, storage::encode_version(kOwnVersion), std::nullopt});
+  store_.commit(transaction, [this](const storage::CommitReply& reply) {
     if (reply.status == Status::ok) return;
-    clock_.after(settings_.lease_s * kRetryRatio, [this] { record_own(); });
+    clock_.after(settings_.lease_s * kRetryRatio, [this] { record_own_version(); });
   });
 }
 
-void MemberVersions::read_all() {
-  if (reading_ || all_understand(kOwnVersion)) return;
-  reading_ = true;
+void MemberVersions::poll_records() {
+  if (polling_ || all_understand(kOwnVersion)) return;
+  polling_ = true;
   store_.list(storage::kVersionPrefix, "", [this](const storage::ListReply& reply) {
-    if (reply.status == Status::ok) {
-      for (const auto& entry : reply.entries) {
-        const std::string member = entry.key.substr(std::string(storage::kVersionPrefix).size());
-        recorded_[member] = {storage::decode_version(entry.data), entry.revision};
-        drop_outdated(member);
-      }
-    }
+    handle_records(reply);
     clock_.after(settings_.lease_s * kRetryRatio, [this] {
-      reading_ = false;
-      read_all();
+      polling_ = false;
+      poll_records();
     });
   });
 }
 
+void MemberVersions::handle_records(const storage::ListReply& reply) {
+  if (reply.status != Status::ok) return;
+  for (const auto& entry : reply.entries) {
+    const std::string member = member_of(entry.key);
+    recorded_[member] = {storage::decode_version(entry.data), entry.revision};
+    delete_outdated_record(member);
+  }
+}
+
 // The first version does not replace the record of the one that ran before it. Left alone, the
-// record would speak for a newer one as soon as the process cannot be reached.
-void MemberVersions::drop_outdated(const std::string& member) {
-  const auto spoken = heard_.find(member);
+// record would stand for a newer version as soon as the process cannot be reached.
+void MemberVersions::delete_outdated_record(const std::string& member) {
+  const auto reported = reported_.find(member);
   const auto recorded = recorded_.find(member);
-  if (spoken == heard_.end() || recorded == recorded_.end()) return;
-  if (spoken->second >= recorded->second.version) return;
-  spdlog::error("controller {} has come back with an earlier version", member);
+  if (reported == reported_.end() || recorded == recorded_.end()) return;
+  if (reported->second >= recorded->second.version) return;
+  spdlog::error("controller runs an earlier version than recorded: member={} version={}", member,
+                reported->second);
   const std::string key = storage::version_key(member);
-  storage::Transaction txn;
-  txn.preconditions.push_back({key, recorded->second.revision});
-  txn.deletes.push_back(key);
+  storage::Transaction transaction;
+  transaction.preconditions.push_back({key, recorded->second.revision});
+  transaction.deletes.push_back(key);
   recorded_.erase(recorded);
   store_.commit(
-      txn, [](const storage::CommitReply&) {}, storage::RequestPriority::background);
+      transaction, [](const storage::CommitReply&) {}, storage::RequestPriority::background);
 }
 
 }  // namespace larkroad::coordination
