--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,7 +1,12 @@
+/// The `larkroad` program: `larkroad serve` runs one controller until the process is ended.
 #include <CLI/CLI.hpp>
+#include <algorithm>
 #include <asio/io_context.hpp>
+#include <cstddef>
 #include <cstdlib>
 #include <iostream>
+#include <string>
+#include <utility>
 
 #include "coordination/controller/controller.hpp"
 #include "log.hpp"
@@ -14,51 +19,70 @@
 
 using namespace larkroad;
 
-// Sockets, as parts of the limit in the settings: users and workers, peers, outgoing calls. The
-// rest is kept for listening sockets and for those that are on their way out.
-constexpr double kClientSockets = 0.7;
-constexpr double kPeerSockets = 0.05;
-constexpr double kOutgoingSockets = 0.2;
+// How the limit of sockets in the settings is divided: users and workers, peers, outgoing calls.
+// The rest is left for listening sockets and for connections that are being closed.
+constexpr double kClientSocketShare = 0.7;
+constexpr double kPeerSocketShare = 0.05;
+constexpr double kOutgoingSocketShare = 0.2;
+constexpr double kMinSockets = 4;
 
-int serve(const std::string& config, const std::string& operators) {
-  Settings settings = load_settings(config);
-  if (!operators.empty()) settings.operators = load_operators(operators);
-  init_logging(std::getenv("LOG_LEVEL"), settings.member);
-  spdlog::info("larkroad {} of {} controllers, zone {}", settings.member,
+std::size_t socket_limit(const Settings& settings, double share) {
+  return static_cast<std::size_t>(std::max(kMinSockets, settings.sockets * share));
+}
+
+Settings load_all_settings(const std::string& settings_path, const std::string& operators_path) {
+  Settings settings = load_settings(settings_path);
+  if (!operators_path.empty()) settings.operators = load_operators(operators_path);
+  return settings;
+}
+
+std::string environment_variable(const char* name) {
+  const char* value = std::getenv(name);
+  return value != nullptr ? value : "";
+}
+
+std::string limit_text(double limit) {
+  return limit < kNoLimit ? fmt::format("{}", limit) : "none";
+}
+
+void log_settings(const Settings& settings) {
+  spdlog::info("controller started: member={} controllers={} zone={}", settings.member,
                settings.controller_count(), settings.zone);
-  const auto limit = [](double most) {
-    return most < kNoLimit ? fmt::format("{}", most) : "any number";
-  };
   for (const auto& team : settings.teams) {
-    spdlog::info("team {}: guaranteed {} CPUs and {} GPUs, at most {} and {}", team.name, team.cpus,
-                 team.gpus, limit(team.cpus_max), limit(team.gpus_max));
+    spdlog::info("team configured: team={} cpus={} cpus_max={} gpus={} gpus_max={}", team.name,
+                 team.cpus, limit_text(team.cpus_max), team.gpus, limit_text(team.gpus_max));
   }
+}
 
-  asio::io_context io(1);
-  transport::AsioClock clock(io);
-  const auto sockets = [&](double part) {
-    return static_cast<size_t>(std::max(4.0, settings.sockets * part));
-  };
-  transport::HttpClient client(io, clock, sockets(kOutgoingSockets));
-  coordination::Controller node(clock, client, settings);
-  transport::HttpServer users(io, clock, settings.client_listen, sockets(kClientSockets),
-                              [&node](transport::Request request, transport::Respond respond) {
-                                node.handle_client(std::move(request), std::move(respond));
-                              });
-  transport::HttpServer peers(io, clock, settings.peer_bind, sockets(kPeerSockets),
-                              [&node](transport::Request request, transport::Respond respond) {
-                                node.handle_peer(std::move(request), std::move(respond));
-                              });
-  node.start();
+/// Runs the event loop until it is stopped.
+void run_event_loop(asio::io_context& io) {
   while (!io.stopped()) {
     try {
       io.run();
     } catch (const std::exception& error) {
-      // One event that goes wrong must not take the controller down; it is a defect all the same.
-      spdlog::error("unexpected: {}", error.what());
+      // A defect, but one event that goes wrong must not take the controller down.
+      spdlog::error("unhandled exception: error={}", error.what());
     }
   }
-  return EXIT_SUCCESS;
+}
+
+void serve(const Settings& settings) {
+  asio::io_context io(1);
+  transport::AsioClock clock(io);
+  transport::HttpClient client(io, clock, socket_limit(settings, kOutgoingSocketShare));
+  coordination::Controller controller(clock, client, settings);
+  const transport::HttpServer client_server(
+      io, clock, settings.client_listen, socket_limit(settings, kClientSocketShare),
+      [&controller](transport::Request request, transport::Respond respond) {
+        controller.handle_client(std::move(request), std::move(respond));
+      });
+  const transport::HttpServer peer_server(
+      io, clock, settings.peer_bind, socket_limit(settings, kPeerSocketShare),
+      [&controller](transport::Request request, transport::Respond respond) {
+        controller.handle_peer(std::move(request), std::move(respond));
+      });
+  controller.start();
+  run_event_loop(io);
 }
 
 }  // namespace
@@ -67,15 +91,19 @@
   CLI::App app{"larkroad, a cluster scheduler"};
   app.set_version_flag("--version", "larkroad " LARKROAD_VERSION);
   app.require_subcommand(1);
-  std::string config;
+  std::string settings_path;
+  std::string operators_path;
   CLI::App* serve_command = app.add_subcommand("serve", "Run as one of the controllers");
-  serve_command->add_option("--config", config, "Settings file (TOML)")->required();
-  std::string operators;
-  serve_command->add_option("--operators", operators, "The operators' own settings (TOML)");
+  serve_command->add_option("--config", settings_path, "Settings file (TOML)")->required();
+  serve_command->add_option("--operators", operators_path, "The operators' own settings (TOML)");
   CLI11_PARSE(app, argc, argv);
 
   try {
-    return serve(config, operators);
+    const Settings settings = load_all_settings(settings_path, operators_path);
+    init_logging(environment_variable("LOG_LEVEL"), settings.member);
+    log_settings(settings);
+    serve(settings);
+    return EXIT_SUCCESS;
   } catch (const std::exception& error) {
     std::cerr << "larkroad: " << error.what() << '\n';
     return EXIT_FAILURE;
