--- a/src/protocol/job_messages.cpp
+++ b/src/protocol/job_messages.cpp
@@ -72,7 +72,7 @@
   spec.memory_gb = amount(body, wire::kMemoryGb);
 }
 
-// On which machines the tasks may run, and how they are to lie to each other.
+// On which machines and in which zones the tasks may run.
 void parse_placement_constraints(const Json& body, JobSpec& spec) {
   if (find(body, wire::kMachineTypes) != nullptr) {
     spec.types = array_of_strings(body, wire::kMachineTypes);
