--- a/src/coordination/scaling/autoscaler.cpp
+++ b/src/coordination/scaling/autoscaler.cpp
@@ -81,7 +81,7 @@
     ScalingPlan out;
     // Most machines of a busy fleet are full: they are passed over once, not once for each job.
     const auto forecasts = forecast(cluster_, now_);
-    least_ = least_need(cluster_);
+    least_ = smallest_waiting_need(cluster_);
     for (const auto& f : forecasts) {
       const Resources need = needs_of(*f.spec);
       least_ = least_ ? least_of(*least_, need) : need;
--- a/src/coordination/scheduling/cycle_view.cpp
+++ b/src/coordination/scheduling/cycle_view.cpp
@@ -9,11 +9,11 @@
 namespace larkroad::coordination {
 namespace {
 
-// The part of all room for a class that may be kept for what may come of it.
+// The part of all room for a class that may be reserved for tasks of it that may arrive.
 constexpr double kReserveMost = 0.5;
-// A machine that has brought no report for this part of its lease gets no more work, though it may
+// A machine that has sent no heartbeat for this part of its lease gets no more work, though it may
 // answer calls: answers renew no lease, so all that it runs may end soon.
-constexpr double kReportPatience = 1.0 / 2;
+constexpr double kHeartbeatPatience = 1.0 / 2;
 
 }  // namespace
 
@@ -23,13 +23,14 @@
   room.memory_gb -= each.memory_gb * count;
 }
 
-CycleView::CycleView(ClusterState& cluster, const GangReservations& holds, Seconds now)
+CycleView::CycleView(ClusterState& cluster, const GangReservations& reservations, Seconds now)
     : cluster_(cluster), now_(now) {
   add_machines();
+  add_open_machines();
   add_gpu_needs();
-  for (const auto& [job, hold] : holds.all()) {
-    for (const auto& [name, count] : hold.tasks) {
-      if (MachineView* view = find(name)) take_room(view->room, hold.each, count);
+  for (const auto& [job, reservation] : reservations.all()) {
+    for (const auto& [name, count] : reservation.tasks) {
+      if (MachineView* view = find(name)) take_room(view->room, reservation.each, count);
     }
   }
   add_reserves();
@@ -38,20 +39,23 @@
 void CycleView::add_machines() {
   machines_.reserve(cluster_.machines().size());
   std::map<std::tuple<const MachineType*, std::string, bool>, size_t> pool_of;
-  const Seconds patience = cluster_.settings().lease_s * kReportPatience;
+  const Seconds patience = cluster_.settings().lease_s * kHeartbeatPatience;
   for (auto& [name, machine] : cluster_.machines()) {
     const MachineType* type = cluster_.type(machine.type);
     if (type == nullptr || !machine.usable(now_, patience)) continue;
-    const auto [at, made] = pool_of.try_emplace({type, machine.zone, machine.spot}, pools_.size());
-    if (made) pools_.push_back({type, machine.zone, machine.spot, {}, {}});
+    const auto [at, added] = pool_of.try_emplace({type, machine.zone, machine.spot}, pools_.size());
+    if (added) pools_.push_back({type, machine.zone, machine.spot, {}, {}});
     machines_.push_back({&machine, at->second, machine.room(), {}, {}});
   }
-  const auto least = least_need(cluster_);
+}
+
+void CycleView::add_open_machines() {
+  const auto smallest = smallest_waiting_need(cluster_);
   by_name_.reserve(machines_.size());
   for (MachineView& view : machines_) {
     MachinePool& pool = pools_[view.pool];
     pool.machines.push_back(&view);
-    if (least && view.room.fits(*least)) pool.open.push_back(&view);
+    if (smallest && view.room.fits(*smallest)) pool.open.push_back(&view);
     by_name_[view.machine->name] = &view;
   }
 }
@@ -70,17 +74,17 @@
   for (const auto& expected : forecast(cluster_, now_)) {
     ClassReserve reserve{expected.spec, expected.missing(), 0, allowed_pools(*expected.spec), {}};
     const Resources need = needs_of(*expected.spec);
-    double most = 0;
+    double fits_when_empty = 0;
     for (const MachineView& view : machines_) {
       if (!reserve.allowed[view.pool]) continue;
       reserve.fits += view.room.times(need);
-      most += view.machine->capacity.times(need);
+      fits_when_empty += view.machine->capacity.times(need);
     }
-    // However much may come, the less important work keeps its part of the machines.
-    reserve.missing = std::min(reserve.missing, most * kReserveMost);
+    // However much may arrive, the less important work keeps its part of the machines.
+    reserve.missing = std::min(reserve.missing, fits_when_empty * kReserveMost);
     for (const auto& [team, wanted] : expected.wanted_by_team) {
-      const auto there = expected.current_by_team.find(team);
-      const double current = there == expected.current_by_team.end() ? 0 : there->second;
+      const auto found = expected.current_by_team.find(team);
+      const double current = found == expected.current_by_team.end() ? 0 : found->second;
       reserve.missing_by_team[team] = std::max(0.0, wanted - current);
     }
     reserves_.push_back(std::move(reserve));
@@ -101,17 +105,13 @@
   return out;
 }
 
-Resources CycleView::limit_left(const std::string& name) const {
-  const TeamSettings* team = cluster_.settings().team(name);
-  if (team == nullptr) return {};
-  Resources used = cluster_.used_by(name);
-  const auto taken = taken_.find(name);
-  if (taken != taken_.end()) used += taken->second;
-  return {team->cpus_max - used.cpus, team->gpus_max - used.gpus, kNoLimit};
+Resources CycleView::team_quota_left(const std::string& team) const {
+  const auto taken = taken_quota_.find(team);
+  return quota_left(cluster_, team, taken == taken_quota_.end() ? Resources{} : taken->second);
 }
 
-std::uint32_t CycleView::tasks_within_limit(const Job& job, protocol::Priority priority) const {
-  Resources left = limit_left(job.spec.team);
+std::uint32_t CycleView::tasks_within_quota(const Job& job, protocol::Priority priority) const {
+  Resources left = team_quota_left(job.spec.team);
   for (const ClassReserve& reserve : reserves_) {
     if (reserve.spec->priority >= priority) continue;
     const auto missing = reserve.missing_by_team.find(job.spec.team);
@@ -119,11 +119,11 @@
     left.cpus -= missing->second * reserve.spec->cpus;
     left.gpus -= missing->second * reserve.spec->gpus;
   }
-  return left.times({job.spec.cpus, job.spec.gpus, 0});
+  return tasks_within(left, job.spec);
 }
 
-void CycleView::take_limit(const Job& job, double tasks) {
-  take_room(taken_[job.spec.team], needs_of(job.spec), -tasks);
+void CycleView::take_quota(const Job& job, double tasks) {
+  take_room(taken_quota_[job.spec.team], needs_of(job.spec), -tasks);
 }
 
 void CycleView::take(const Job& job, MachineView& view) {
@@ -138,26 +138,26 @@
 
 void CycleView::release(const Job& job, MachineView& view) {
   view.room += needs_of(job.spec);
-  view.fetching.reset();  // seen anew when it matters
+  view.fetching.reset();  // looked up again when it matters
   for (ClassReserve& reserve : reserves_) {
     if (reserve.allowed[view.pool]) reserve.fits += lost_fits(reserve, job, view);
   }
 }
 
-void CycleView::free_held(const GangReservations::Hold& hold) {
-  for (const auto& [name, count] : hold.tasks) {
+void CycleView::free_reserved(const GangReservations::Reservation& reservation) {
+  for (const auto& [name, count] : reservation.tasks) {
     if (MachineView* view = find(name)) {
-      take_room(view->room, hold.each, -static_cast<double>(count));
+      take_room(view->room, reservation.each, -static_cast<double>(count));
     }
   }
 }
 
 std::optional<ZoneCounts> CycleView::live_zones(const Job& job,
-                                                const std::vector<std::uint32_t>& moving) const {
+                                                const std::vector<std::uint32_t>& migrating) const {
   ZoneCounts out;
   if (!job.spec.one_zone && !job.spec.spread) return out;
   for (const auto& [task, placement] : job.placements) {
-    if (std::find(moving.begin(), moving.end(), task) != moving.end()) continue;
+    if (std::find(migrating.begin(), migrating.end(), task) != migrating.end()) continue;
     if (const Machine* machine = cluster_.find_machine(placement.machine)) ++out[machine->zone];
   }
   if (out.contains("")) return std::nullopt;
@@ -165,29 +165,32 @@
 }
 
 double CycleView::blocked_gpus(const Job& job, const MachineView& view) const {
-  const Resources& all = view.machine->capacity;
-  if (job.spec.gpus > 0 || all.gpus <= 0) return 0;
+  const Resources& capacity = view.machine->capacity;
+  if (job.spec.gpus > 0 || capacity.gpus <= 0) return 0;
   Resources rest = view.room;
   rest -= needs_of(job.spec);
   double out = 0;
   for (const GpuNeed& gpu : gpu_needs_) {
     if (!gpu.allowed[view.pool]) continue;
     const double blocked = static_cast<double>(view.room.times(gpu.need)) - rest.times(gpu.need);
-    out = std::max(out, blocked * gpu.need.gpus / all.gpus);
+    out = std::max(out, blocked * gpu.need.gpus / capacity.gpus);
+  }
+  return out;
+}
+
+std::map<std::string, double> CycleView::images_being_fetched(const Machine& machine) const {
+  std::map<std::string, double> out;
+  for (const TaskId& id : machine.tasks) {
+    const Job* job = cluster_.job(id.job);
+    if (job == nullptr || machine.images.contains(job->spec.image)) continue;
+    out[job->spec.image] = job->spec.image_gb;
   }
   return out;
 }
 
 Seconds CycleView::image_wait(const Job& job, MachineView& view) const {
   if (view.machine->images.contains(job.spec.image)) return 0;
-  if (!view.fetching) {
-    view.fetching.emplace();
-    for (const auto& id : view.machine->tasks) {
-      const Job* other = cluster_.job(id.job);
-      if (other == nullptr || view.machine->images.contains(other->spec.image)) continue;
-      (*view.fetching)[other->spec.image] = other->spec.image_gb;
-    }
-  }
+  if (!view.fetching) view.fetching = images_being_fetched(*view.machine);
   const double rate = pool_of(view).type->fetch_gb_per_s;
   if (rate <= 0) return 0;
   double gb = view.fetching->contains(job.spec.image) ? 0 : job.spec.image_gb;
--- a/src/coordination/scheduling/gang_reservations.cpp
+++ b/src/coordination/scheduling/gang_reservations.cpp
@@ -4,22 +4,22 @@
 
 void GangReservations::reserve(const std::string& job, const Resources& each,
                                const std::string& machine, std::uint32_t count, Seconds expires) {
-  Hold& hold = holds_[job];
-  if (hold.tasks.empty()) {
-    hold.each = each;
-    hold.expires = expires;
+  Reservation& reservation = reservations_[job];
+  if (reservation.tasks.empty()) {
+    reservation.each = each;
+    reservation.expires = expires;
   }
-  hold.tasks[machine] += count;
+  reservation.tasks[machine] += count;
 }
 
-void GangReservations::release(const std::string& job) { holds_.erase(job); }
+void GangReservations::release(const std::string& job) { reservations_.erase(job); }
 
 std::vector<std::string> GangReservations::expire(Seconds now) {
   std::vector<std::string> out;
-  for (auto it = holds_.begin(); it != holds_.end();) {
+  for (auto it = reservations_.begin(); it != reservations_.end();) {
     if (now >= it->second.expires) {
       out.push_back(it->first);
-      it = holds_.erase(it);
+      it = reservations_.erase(it);
     } else {
       ++it;
     }
@@ -27,9 +27,9 @@
   return out;
 }
 
-const GangReservations::Hold* GangReservations::find(const std::string& job) const {
-  const auto it = holds_.find(job);
-  return it == holds_.end() ? nullptr : &it->second;
+const GangReservations::Reservation* GangReservations::find(const std::string& job) const {
+  const auto it = reservations_.find(job);
+  return it == reservations_.end() ? nullptr : &it->second;
 }
 
 }  // namespace larkroad::coordination
--- a/src/coordination/scheduling/gang_reservations.hpp
+++ b/src/coordination/scheduling/gang_reservations.hpp
@@ -1,5 +1,11 @@
-// Room reserved for gangs, machine by machine, until all their tasks have some: the paper's
-// preceding actions. Kept in the leader's memory only; a new leader starts without any.
+/// Capacity reserved for gangs, machine by machine, until all their members have some.
+///
+/// A reservation under a time limit, in two phases: a gang that finds room for only some of its
+/// members reserves that room; once all have some it is confirmed and placed, or else the
+/// reservation expires, so that gangs cannot block each other or the fleet for ever. Also used for
+/// replicas that migrate, between the stop on one machine and the start on the next.
+///
+/// Kept in the leader's memory only; a new leader starts without any.
 #pragma once
 
 #include <map>
@@ -12,27 +18,29 @@
 
 class GangReservations {
  public:
-  struct Hold {
-    std::map<std::string, std::uint32_t> tasks;  // by machine
-    Resources each;
-    Seconds expires = 0;
+  /// What is reserved for one job.
+  struct Reservation {
+    std::map<std::string, std::uint32_t> tasks;  ///< how many, by machine
+    Resources each;                              ///< what one task needs
+    Seconds expires = 0;                         ///< by the steady clock
   };
 
-  // Reserves room for `count` tasks on a machine; the first touch starts the time limit.
+  /// Reserves room for `count` tasks on a machine. The first call for a job sets `expires`.
   void reserve(const std::string& job, const Resources& each, const std::string& machine,
                std::uint32_t count, Seconds expires);
-  // The concluding action: what was held goes back, consumed or not. The caller places the tasks
-  // of a confirmed gang in the same step.
+  /// Ends the job's reservation, confirmed or not. The caller places the tasks of a confirmed gang
+  /// in the same step.
   void release(const std::string& job);
-  // Releases the holds whose limit is over and names their jobs.
+  /// Releases the reservations whose time is over and returns the ids of their jobs.
   std::vector<std::string> expire(Seconds now);
-  // Null when the job holds nothing.
-  const Hold* find(const std::string& job) const;
-  const std::map<std::string, Hold>& all() const { return holds_; }
-  void clear() { holds_.clear(); }
+  /// Null when nothing is reserved for the job.
+  const Reservation* find(const std::string& job) const;
+  /// By job id.
+  const std::map<std::string, Reservation>& all() const { return reservations_; }
+  void clear() { reservations_.clear(); }
 
  private:
-  std::map<std::string, Hold> holds_;
+  std::map<std::string, Reservation> reservations_;
 };
 
 }  // namespace larkroad::coordination
--- a/src/coordination/scheduling/job_queue.cpp
+++ b/src/coordination/scheduling/job_queue.cpp
@@ -4,416 +4,189 @@
 #include <array>
 #include <cmath>
 #include <map>
-#include <string_view>
+#include <set>
+#include <string>
 #include <tuple>
+#include <utility>
 
+#include "coordination/scheduling/due_time_ranking.hpp"
+#include "coordination/scheduling/fleet_capacity.hpp"
 #include "coordination/scheduling/replica_migration.hpp"
 
 namespace larkroad::coordination {
 namespace {
 
-// More important work of a team is taken to leave the rest at least this part of its room.
-constexpr double kLeastRoom = 0.1;
-// The remaining times of a job's tasks are told apart by this part of its run.
-constexpr size_t kEndSteps = 16;
-// What has no aim comes after all that can still meet one, and before what can meet none any more.
-constexpr int kNoAimRank = 500;
-constexpr int kLateRank = 1000;
-// Sums of parts are compared with this much leeway.
-constexpr double kRounding = 1e-9;
-// A job that has not begun after these parts of its time rises, and becomes urgent. Its time is the
-// bound less what its image takes to arrive, though no less than this part of the bound. Rising
-// early costs others: in a burst that lasts, all room would go to what has waited for longest.
-constexpr double kLeastTime = 1.0 / 2;
-constexpr double kRisesAfter = 3.0 / 4;
-constexpr double kUrgentAfter = 5.0 / 6;
+// The remaining times of a job's tasks are distinguished in steps of this part of its run.
+constexpr size_t kRemainingSteps = 16;
+// A task that has run for longer than expected is taken to run for this part of its run time more.
+constexpr double kLeastRemainingRatio = 1.0 / 4;
 
-struct Candidate {
-  Job* job;
-  double size;           // of its waiting tasks, in parts of the fleet
-  double size_of_limit;  // the same of its team's limit
-  Seconds run;           // of one task
-  std::vector<Seconds> due;
-  size_t stage = 0;       // the due time it is held to at present
-  Seconds sort_time = 0;  // orders the jobs of a rank
-  int rank = kNoAimRank;  // the smaller, the earlier
-  Aging rise = Aging::none;
-  Seconds start_by() const { return due[stage] - run; }
+// The times of a job's tasks.
+struct TaskTimes {
+  Seconds running;   // expected, from the start of the task on
+  Seconds occupied;  // the same and the fetch of the image: a machine's capacity is taken from then
 };
 
-// Machines of one type, zone and kind, taken together.
-struct Pool {
-  const MachineType* type = nullptr;
-  std::string zone;
-  bool spot = false;
-  double machines = 0;
-  Resources all;
-  ResourcesByPriority used{};
-};
+Seconds remaining_time(const Placement& placement, Seconds now, const TaskTimes& times) {
+  if (placement.running_since < 0) return times.occupied;
+  return std::max(times.running - (now - placement.running_since),
+                  times.running * kLeastRemainingRatio);
+}
 
-// What the fleet can run at once, as far as work of a priority finds it.
-class Capacity {
+// Orders the waiting jobs of a cluster, once.
+class QueueOrdering {
  public:
-  explicit Capacity(const ClusterState& cluster) : cluster_(cluster) {
-    std::map<std::tuple<const MachineType*, std::string, bool>, size_t> known;
-    for (const auto& [name, machine] : cluster.machines()) {
-      const MachineType* type = cluster.type(machine.type);
-      if (type == nullptr || machine.being_released || machine.lease_expired || machine.quarantined)
-        continue;
-      const auto [at, made] = known.try_emplace({type, machine.zone, machine.spot}, pools_.size());
-      if (made) pools_.push_back({type, machine.zone, machine.spot, 0, {}, {}});
-      Pool& pool = pools_[at->second];
-      pool.machines += 1;
-      pool.all += machine.capacity;
-      for (size_t i = 0; i < machine.used_by_priority.size(); ++i) {
-        pool.used[i] += machine.used_by_priority[i];
-      }
-    }
-  }
+  QueueOrdering(ClusterState& cluster, Seconds now, Seconds start_bound)
+      : cluster_(cluster),
+        now_(now),
+        start_bound_(start_bound),
+        guaranteed_(within_guarantee(cluster)),
+        fleet_(cluster) {}
 
-  // How many tasks of this kind fit beside more important work. Counted by whole tasks on whole
-  // machines: what a machine has in plenty is of no use where something else is short.
-  double slots(const JobSpec& spec) const {
-    const Resources need = needs_of(spec);
-    double all = 0;
-    double left = 0;
-    for (const Pool& pool : pools_) {
-      if (!allows(spec, *pool.type, pool.zone, pool.spot)) continue;
-      const double whole = pool.machines * capacity_of(*pool.type).times(need);
-      Resources room = pool.all;
-      for (size_t i = 0; i < static_cast<size_t>(spec.priority); ++i) room -= pool.used[i];
-      all += whole;
-      left += std::min<double>(whole, room.times(need));
-    }
-    return std::max(left, all * kLeastRoom);
-  }
-
-  // The part of the fleet that one task takes, and the part of its team's limit.
-  double part_of_fleet(const JobSpec& spec) const {
-    const double slots_there = slots(spec);
-    return slots_there > 1 ? 1 / slots_there : 1;
-  }
-  double part_of_limit(const JobSpec& spec) const {
-    const TeamSettings* team = cluster_.settings().team(spec.team);
-    if (team == nullptr) return 1;
-    double part = 0;
-    if (team->cpus_max > 0) part = std::max(part, spec.cpus / team->cpus_max);
-    if (team->gpus_max > 0) part = std::max(part, spec.gpus / team->gpus_max);
-    return std::min(part, 1.0);
+  std::vector<Job*> run() {
+    for (const auto& [id, job] : cluster_.jobs()) add_job(*job);
+    finish_timelines();
+    rank_entries();
+    return sorted();
   }
-  bool known() const { return !pools_.empty(); }
 
  private:
-  const ClusterState& cluster_;
-  std::vector<Pool> pools_;
-};
-
-// When a room that tasks share comes free: at once what nobody uses, the rest as its tasks end, and
-// all of it again whenever what is started then has run.
-class Openings {
- public:
-  // A task that takes `part` of the room for another `left` seconds; its like run for `run`.
-  void add(double part, Seconds left, Seconds run) {
-    used_ += part;
-    ends_.push_back({left, part, part / std::max(run, 1e-3)});
-  }
-  // To be called once all tasks are known. `run`: of what may use the room that is free.
-  void sum_up(Seconds run) {
-    const double free = std::max(0.0, 1 - used_);
-    ends_.push_back({0, free, free / std::max(run, 1e-3)});
-    std::sort(ends_.begin(), ends_.end(),
-              [](const End& a, const End& b) { return a.left < b.left; });
-    double part = 0;
-    double rate = 0;
-    double before = 0;
-    for (End& end : ends_) {
-      part += end.part;
-      rate += end.rate;
-      before += end.rate * end.left;
-      sums_.push_back({part, rate, before});
+  // Run times of the waiting tasks of a priority.
+  struct RunTimes {
+    Seconds sum = 0;
+    double tasks = 0;
+    Seconds mean() const { return tasks > 0 ? sum / tasks : 0; }
+  };
+  // What comes first: priority, teams with a guarantee, rank, within the guarantee, time.
+  using OrderKey = std::tuple<protocol::Priority, bool, int, bool, Seconds>;
+
+  void add_job(Job& job) {
+    const bool waits = job.waiting() > 0;
+    if (job.placements.empty() && !waits) return;
+    const Seconds running = cluster_.expected_run(job.spec);
+    const Seconds start =
+        shortest_start_time(cluster_.types(), job.spec, StartsOn::running_machine).value_or(0);
+    const TaskTimes times{running, running + start};
+    // Before any machine is known the team's limit alone counts.
+    const double quota_share = fleet_.quota_share(job.spec);
+    const double fleet_share = fleet_.known() ? fleet_.fleet_share(job.spec) : quota_share;
+    add_live_tasks(job, times, fleet_share, quota_share);
+    if (!waits) return;
+    const std::uint32_t waiting = job.waiting();
+    RunTimes& run_times = run_times_[job.spec.priority];
+    run_times.sum += times.occupied * waiting;
+    run_times.tasks += waiting;
+    QueueEntry entry;
+    entry.job = &job;
+    entry.fleet_share = fleet_share * waiting;
+    entry.quota_share = quota_share * waiting;
+    entry.run_time = times.occupied;
+    entry.due_times = due_times(cluster_, job);
+    entry.aging = aging_of(cluster_, job, now_, start_bound_);
+    entry.sort_time = job.submitted;
+    entries_.push_back(std::move(entry));
+    // The team's timeline is there though nothing of it runs.
+    shared_[job.spec.priority].quotas[job.spec.team];
+  }
+
+  // Adds the job's live tasks to the capacity that they take. Tasks that end at about the same time
+  // are added together: a cycle's cost then goes by jobs, not by the thousands of tasks of a large
+  // array.
+  void add_live_tasks(const Job& job, const TaskTimes& times, double fleet_share,
+                      double quota_share) {
+    if (job.placements.empty()) return;
+    std::array<double, kRemainingSteps + 1> tasks_by_step{};
+    for (const auto& [task, placement] : job.placements) {
+      const Seconds remaining = remaining_time(placement, now_, times);
+      const double step = times.occupied > 0
+                              ? std::clamp(remaining / times.occupied, 0.0, 1.0) * kRemainingSteps
+                              : 0;
+      tasks_by_step[static_cast<size_t>(std::lround(step))] += 1;
+    }
+    for (size_t step = 0; step < tasks_by_step.size(); ++step) {
+      const double tasks = tasks_by_step[step];
+      if (tasks <= 0) continue;
+      const Seconds remaining = times.occupied * static_cast<double>(step) / kRemainingSteps;
+      shared_[job.spec.priority].fleet.add(fleet_share * tasks, remaining, times.occupied);
+      // A team's limit is shared with its more important work.
+      for (auto priority = static_cast<size_t>(job.spec.priority); priority < kPriorities;
+           ++priority) {
+        CapacityTimeline& quota =
+            shared_[static_cast<protocol::Priority>(priority)].quotas[job.spec.team];
+        quota.add(quota_share * tasks, remaining, times.occupied);
+      }
     }
-  }
-  // How much can be started within this time, in parts of the room.
-  double within(Seconds time) const {
-    const auto it = std::upper_bound(ends_.begin(), ends_.end(), time,
-                                     [](Seconds t, const End& end) { return t < end.left; });
-    if (it == ends_.begin()) return 0;
-    const Sum& sum = sums_[static_cast<size_t>(it - ends_.begin()) - 1];
-    return sum.part + sum.rate * time - sum.before;
   }
 
- private:
-  struct End {
-    Seconds left;
-    double part;
-    double rate;  // what it opens again and again, by the second
-  };
-  struct Sum {
-    double part, rate, before;
-  };
-  double used_ = 0;
-  std::vector<End> ends_;
-  std::vector<Sum> sums_;
-};
-
-// The room that jobs of a priority share, and what of it has been promised so far: the fleet, for
-// all teams, and each team's limit.
-struct Shared {
-  Openings fleet;
-  std::map<std::string, Openings> limits;
-  double promised = 0;
-  std::map<std::string, double> promised_of_limit;
-};
-
-// Adds the job's live tasks to the room that they take. Tasks that end at about the same time are
-// taken together: a round then costs by jobs, not by the thousands of tasks of a large array.
-void add_live_tasks(const Job& job, Seconds now, Seconds running, Seconds run, double of_fleet,
-                    double of_limit, std::map<protocol::Priority, Shared>& shared) {
-  if (job.placements.empty()) return;
-  std::array<double, kEndSteps + 1> ends{};
-  for (const auto& [task, p] : job.placements) {
-    const Seconds left =
-        p.running_since < 0 ? run : std::max(running - (now - p.running_since), running / 4);
-    const double step = run > 0 ? std::clamp(left / run, 0.0, 1.0) * kEndSteps : 0;
-    ends[static_cast<size_t>(std::lround(step))] += 1;
-  }
-  const auto lowest = static_cast<int>(protocol::Priority::low);
-  for (size_t step = 0; step < ends.size(); ++step) {
-    if (ends[step] <= 0) continue;
-    const Seconds left = run * static_cast<double>(step) / kEndSteps;
-    shared[job.spec.priority].fleet.add(of_fleet * ends[step], left, run);
-    // A team's limit is shared with its more important work.
-    for (int rank = static_cast<int>(job.spec.priority); rank <= lowest; ++rank) {
-      shared[static_cast<protocol::Priority>(rank)].limits[job.spec.team].add(of_limit * ends[step],
-                                                                              left, run);
+  void finish_timelines() {
+    for (auto& [priority, capacity] : shared_) {
+      const Seconds run_time = run_times_[priority].mean();
+      capacity.fleet.finish(run_time);
+      for (auto& [team, quota] : capacity.quotas) quota.finish(run_time);
     }
   }
-}
 
-// The jobs kept in time so far, by how much they take of the fleet and of their team's limit.
-class Kept {
- public:
-  void insert(Candidate* c) {
-    by_size_.insert(entry(c->size, c));
-    by_limit_[c->job->spec.team].insert(entry(c->size_of_limit, c));
-  }
-  void erase(Candidate* c) {
-    by_size_.erase(entry(c->size, c));
-    by_limit_[c->job->spec.team].erase(entry(c->size_of_limit, c));
-  }
-  Candidate* largest() const { return std::get<Candidate*>(*by_size_.rbegin()); }
-  Candidate* largest_of(const std::string& team) const {
-    return std::get<Candidate*>(*by_limit_.at(team).rbegin());
-  }
-  template <typename Fn>
-  void for_each(Fn fn) const {
-    for (const auto& kept : by_size_) fn(std::get<Candidate*>(kept));
+  void rank_entries() {
+    std::map<protocol::Priority, std::vector<QueueEntry*>> by_priority;
+    for (QueueEntry& entry : entries_) {
+      if (entry.has_due_time()) by_priority[entry.job->spec.priority].push_back(&entry);
+    }
+    for (auto& [priority, group] : by_priority) {
+      rank_by_due_times(std::move(group), now_, shared_[priority]);
+    }
   }
 
- private:
-  using Entry = std::tuple<double, std::string_view, Candidate*>;
-  static Entry entry(double weight, Candidate* c) { return {weight, c->job->id(), c}; }
-  std::set<Entry> by_size_;
-  std::map<std::string, std::set<Entry>> by_limit_;
-};
-
-// Of the jobs that are to start by their times, keeps as many as can, in the way of Moore and
-// Hodgson: in order of those times, and whenever one would be late, the largest so far is given up.
-// What is given up is left for its next time, or for the end.
-void keep_in_time(std::vector<Candidate*>& jobs, Seconds now, Shared& shared, int rank,
-                  std::vector<Candidate*>& given_up) {
-  std::sort(jobs.begin(), jobs.end(), [](const Candidate* a, const Candidate* b) {
-    const Seconds x = a->start_by();
-    const Seconds y = b->start_by();
-    return x != y ? x < y : a->job->id() < b->job->id();
-  });
-  Kept kept;
-  for (Candidate* c : jobs) {
-    const std::string& team = c->job->spec.team;
-    kept.insert(c);
-    shared.promised += c->size;
-    double& of_limit = shared.promised_of_limit[team];
-    of_limit += c->size_of_limit;
-    const Seconds time = c->start_by() - now;
-    const bool limit_full = of_limit > shared.limits[team].within(time) + kRounding;
-    if (!limit_full && shared.promised <= shared.fleet.within(time) + kRounding) continue;
-    // Where the team's limit is short, only its own jobs can make way.
-    Candidate* largest = limit_full ? kept.largest_of(team) : kept.largest();
-    shared.promised -= largest->size;
-    shared.promised_of_limit[largest->job->spec.team] -= largest->size_of_limit;
-    given_up.push_back(largest);
-    kept.erase(largest);
+  OrderKey order_key(const QueueEntry& entry) const {
+    const Job& job = *entry.job;
+    const auto priority = aged_priority(job, entry.aging);
+    if (entry.aging != Aging::none) return {priority, false, 0, false, job.submitted};
+    const bool without_guarantee = !has_guarantee(cluster_.settings(), job.spec.team);
+    return {priority, without_guarantee, entry.rank, !guaranteed_.contains(job.id()),
+            entry.sort_time};
   }
-  kept.for_each([rank](Candidate* c) {
-    c->rank = rank;
-    c->sort_time = c->due[c->stage];
-  });
-}
 
-// What comes first: priority, those with a guarantee before guests, rank, within the guarantee
-// before beyond it, time.
-using OrderKey = std::tuple<protocol::Priority, bool, int, bool, Seconds>;
-
-OrderKey order_key(const Candidate& c, bool guest, bool guaranteed) {
-  const Job& job = *c.job;
-  if (c.rise == Aging::none) return {job.spec.priority, guest, c.rank, !guaranteed, c.sort_time};
-  const auto priority = c.rise == Aging::urgent
-                            ? std::min(job.spec.priority, protocol::Priority::high)
-                            : job.spec.priority;
-  return {priority, false, 0, false, job.submitted};
-}
+  std::vector<Job*> sorted() const {
+    std::vector<std::pair<OrderKey, Job*>> order;
+    order.reserve(entries_.size());
+    for (const QueueEntry& entry : entries_) order.emplace_back(order_key(entry), entry.job);
+    std::sort(order.begin(), order.end(), [](const auto& a, const auto& b) {
+      return a.first != b.first ? a.first < b.first : a.second->id() < b.second->id();
+    });
+    std::vector<Job*> out;
+    out.reserve(order.size());
+    for (const auto& [key, job] : order) out.push_back(job);
+    return out;
+  }
+
+  ClusterState& cluster_;
+  Seconds now_;
+  Seconds start_bound_;
+  std::set<std::string> guaranteed_;
+  FleetCapacity fleet_;
+  std::map<protocol::Priority, SharedCapacity> shared_;
+  std::map<protocol::Priority, RunTimes> run_times_;
+  std::vector<QueueEntry> entries_;
+};
 
 }  // namespace
 
-std::vector<Seconds> due_times(const ClusterState& cluster, const Job& job) {
-  std::vector<Seconds> out;
-  for (const auto& aim : cluster.settings().objectives) {
-    if (!aim.job_class.empty() && aim.job_class != job.spec.job_class) continue;
-    if (aim.kind == "deadline" && job.spec.deadline_s) {
-      out.push_back(job.submitted + *job.spec.deadline_s * aim.times);
-    } else if (aim.kind == "finished" && !job.spec.is_service()) {
-      out.push_back(job.submitted + aim.within_s);
-    } else if (aim.kind == "wait" && !job.seen_running) {
-      out.push_back(job.submitted + aim.within_s + cluster.expected_run(job.spec));
-    } else if (aim.kind == "up") {
-      const Seconds wanted_since = std::max(job.submitted, job.replica_lost_at);
-      out.push_back(wanted_since + aim.after_s + cluster.expected_run(job.spec));
-    }
-  }
-  if (out.empty() && job.spec.deadline_s) out.push_back(job.submitted + *job.spec.deadline_s);
-  std::sort(out.begin(), out.end());
-  return out;
-}
-
-std::optional<Resources> least_need(const ClusterState& cluster) {
+std::optional<Resources> smallest_waiting_need(const ClusterState& cluster) {
   std::optional<Resources> out;
-  for (const auto& [id, job] : cluster.jobs()) {
-    if (job->waiting() == 0) continue;
-    const Resources need = needs_of(job->spec);
-    out = out ? least_of(*out, need) : need;
-  }
-  for (const ReplicaMigration& move : replicas_to_migrate(cluster)) {
-    const Resources need = needs_of(cluster.job(move.job)->spec);
+  const auto include = [&out](const JobSpec& spec) {
+    const Resources need = needs_of(spec);
     out = out ? least_of(*out, need) : need;
-  }
-  return out;
-}
-
-bool is_guest(const Settings& settings, const std::string& team) {
-  const TeamSettings* known = settings.team(team);
-  return known == nullptr || (known->cpus <= 0 && known->gpus <= 0);
-}
-
-std::set<std::string> within_guarantee(const ClusterState& cluster) {
-  std::map<std::string, std::vector<const Job*>> by_team;
+  };
   for (const auto& [id, job] : cluster.jobs()) {
-    if (!job->is_finished()) by_team[job->spec.team].push_back(job.get());
+    if (job->waiting() > 0) include(job->spec);
   }
-  std::set<std::string> out;
-  for (auto& [name, jobs] : by_team) {
-    const TeamSettings* team = cluster.settings().team(name);
-    if (team == nullptr) continue;
-    std::sort(jobs.begin(), jobs.end(), [](const Job* a, const Job* b) {
-      return std::tie(a->submitted_at, a->id()) < std::tie(b->submitted_at, b->id());
-    });
-    Resources sum;
-    const Resources guarantee{team->cpus, team->gpus, 1e12};
-    for (const Job* job : jobs) {
-      sum.cpus += job->spec.cpus * job->spec.tasks;
-      sum.gpus += job->spec.gpus * job->spec.tasks;
-      if (guarantee.fits(sum)) out.insert(job->id());
-    }
+  for (const ReplicaMigration& migration : replicas_to_migrate(cluster)) {
+    include(cluster.job(migration.job)->spec);
   }
   return out;
 }
 
-Aging aging_of(const ClusterState& cluster, const Job& job, Seconds now, Seconds start_bound) {
-  if (start_bound <= 0 || job.seen_running) return Aging::none;
-  Seconds fetch = 0;
-  for (const auto& type : cluster.types()) {
-    for (const auto& zone : type.zones) {
-      if (allows(job.spec, type, zone, job.spec.spot)) {
-        fetch = std::max(fetch, fetch_time(job.spec, type));
-      }
-    }
-  }
-  const Seconds time = std::max(start_bound - fetch, start_bound * kLeastTime);
-  const Seconds waited = now - job.submitted;
-  if (waited > time * kUrgentAfter) return Aging::urgent;
-  return waited > time * kRisesAfter ? Aging::first_of_its_priority : Aging::none;
-}
-
 std::vector<Job*> order_jobs(ClusterState& cluster, Seconds now, Seconds start_bound) {
-  const auto guaranteed = within_guarantee(cluster);
-  const Capacity capacity(cluster);
-  std::map<protocol::Priority, Shared> shared;
-  std::vector<Candidate> all;
-  std::map<protocol::Priority, std::pair<Seconds, double>> runs;  // summed, and how many
-  for (const auto& [id, job] : cluster.jobs()) {
-    const bool waits = job->waiting() > 0;
-    if (job->placements.empty() && !waits) continue;
-    // A place is taken from the fetch of the image on.
-    const Seconds running = cluster.expected_run(job->spec);
-    const Seconds run =
-        running +
-        shortest_start_time(cluster.types(), job->spec, StartsOn::running_machine).value_or(0);
-    // Before any machine is known the team's limit alone tells.
-    const double of_limit = capacity.part_of_limit(job->spec);
-    const double of_fleet = capacity.known() ? capacity.part_of_fleet(job->spec) : of_limit;
-    add_live_tasks(*job, now, running, run, of_fleet, of_limit, shared);
-    if (!waits) continue;
-    auto& [sum, count] = runs[job->spec.priority];
-    sum += run * job->waiting();
-    count += job->waiting();
-    all.push_back({job.get(), of_fleet * job->waiting(), of_limit * job->waiting(), run,
-                   due_times(cluster, *job), 0, job->submitted, kNoAimRank,
-                   aging_of(cluster, *job, now, start_bound)});
-    shared[job->spec.priority].limits[job->spec.team];  // there, though nothing of it runs
-  }
-  for (auto& [priority, room] : shared) {
-    const auto& [sum, count] = runs[priority];
-    const Seconds run = count > 0 ? sum / count : 0;
-    room.fleet.sum_up(run);
-    for (auto& [team, limit] : room.limits) limit.sum_up(run);
-  }
-  std::map<protocol::Priority, std::vector<Candidate*>> groups;
-  for (Candidate& c : all) {
-    if (!c.due.empty()) groups[c.job->spec.priority].push_back(&c);
-  }
-  for (auto& [priority, group] : groups) {
-    int rank = 1;
-    std::vector<Candidate*> rest = group;
-    while (!rest.empty()) {
-      std::vector<Candidate*> hopeful;
-      std::vector<Candidate*> over;
-      for (Candidate* c : rest) {
-        while (c->stage < c->due.size() && now > c->start_by()) ++c->stage;
-        (c->stage < c->due.size() ? hopeful : over).push_back(c);
-      }
-      for (Candidate* c : over) {
-        // Late whatever is done: the least work first, so that the fewest wait.
-        c->rank = kLateRank;
-        c->sort_time = c->size * c->run;
-      }
-      std::vector<Candidate*> given_up;
-      keep_in_time(hopeful, now, shared[priority], rank++, given_up);
-      for (Candidate* c : given_up) ++c->stage;
-      rest = std::move(given_up);
-    }
-  }
-  std::vector<std::pair<OrderKey, Job*>> order;
-  order.reserve(all.size());
-  for (const Candidate& c : all) {
-    const bool guest = is_guest(cluster.settings(), c.job->spec.team);
-    order.emplace_back(order_key(c, guest, guaranteed.contains(c.job->id())), c.job);
-  }
-  std::sort(order.begin(), order.end(), [](const auto& a, const auto& b) {
-    return a.first != b.first ? a.first < b.first : a.second->id() < b.second->id();
-  });
-  std::vector<Job*> out;
-  out.reserve(order.size());
-  for (const auto& [key, job] : order) out.push_back(job);
-  return out;
+  return QueueOrdering(cluster, now, start_bound).run();
 }
 
 }  // namespace larkroad::coordination
--- a/src/coordination/scheduling/job_queue.hpp
+++ b/src/coordination/scheduling/job_queue.hpp
@@ -1,40 +1,31 @@
-// The order of work: which waiting job is served next, and which can no longer be served in time.
+/// The work queue: the order in which waiting jobs are scheduled.
+///
+/// Used by the scheduling cycle, which places jobs in this order, and by the autoscaler, which
+/// requests machines in it, so that both serve the same jobs first.
 #pragma once
 
 #include <optional>
-#include <set>
-#include <string>
 #include <vector>
 
 #include "coordination/cluster_state/cluster_state.hpp"
+#include "coordination/scheduling/due_times.hpp"
+#include "coordination/scheduling/priority_aging.hpp"
+#include "coordination/scheduling/quota.hpp"
 
 namespace larkroad::coordination {
 
-// The times by which the aims in the settings want the job done, earliest first: a wait within
-// some time counts as done within it and the expected run.
-std::vector<Seconds> due_times(const ClusterState& cluster, const Job& job);
-
-// The ids of the jobs that lie within their team's guarantee together with the team's earlier
-// jobs that are not over.
-std::set<std::string> within_guarantee(const ClusterState& cluster);
-
-// Whether nothing is guaranteed to the team: its work gets what the others leave.
-bool is_guest(const Settings& settings, const std::string& team);
-
-// The least that any waiting task needs, of each resource by itself: what has less room than this
-// is full. Nothing when none waits.
-std::optional<Resources> least_need(const ClusterState& cluster);
-
-// How a job that has not begun rises with its wait: see order_jobs.
-enum class Aging { none, first_of_its_priority, urgent };
-Aging aging_of(const ClusterState& cluster, const Job& job, Seconds now, Seconds start_bound);
-
-// The jobs that want places, most important first: by priority; within the team's guarantee before
-// beyond it; then those that can still be done in time before those that cannot.
-//
-// Giving up the largest job first is what could starve it: a job that has not begun after three
-// quarters of `start_bound` (0: none), less the time that its image takes, comes before all others
-// of its priority, and soon after that it counts as urgent.
+/// The smallest amount of each resource, by itself, that any waiting task or migrating replica
+/// needs: a machine with less room than this is full. None when nothing waits.
+std::optional<Resources> smallest_waiting_need(const ClusterState& cluster);
+
+/// The jobs with waiting tasks, most important first:
+///  1. by priority, aged jobs first (see `Aging`; `start_bound` as in `aging_of`);
+///  2. teams with a guarantee before those without one;
+///  3. jobs that can still meet a due time, then those without one, then those that are late;
+///  4. jobs within their team's guarantee before those beyond it;
+///  5. by due time or, without one, by submission.
+///
+/// Of the jobs that cannot all meet their due times, the largest are given up first.
 std::vector<Job*> order_jobs(ClusterState& cluster, Seconds now, Seconds start_bound);
 
 }  // namespace larkroad::coordination
--- a/src/coordination/scheduling/ready_tasks.cpp
+++ b/src/coordination/scheduling/ready_tasks.cpp
@@ -5,20 +5,21 @@
 namespace larkroad::coordination {
 namespace {
 
-// A placed task in a record, with common lengths of names and numbers.
-constexpr size_t kCommonTaskBytes = 32;
+// The size of a placed task in a record, with common lengths of names and numbers.
+constexpr size_t kTypicalTaskBytes = 32;
 
-// Counts how many more tasks the records of a job take, where that is limited.
-class RecordRoom {
+// Counts how many more tasks the placement records of a job can hold, where that is limited.
+class RecordCapacity {
  public:
-  RecordRoom(const ClusterState& cluster, const Job& job)
+  RecordCapacity(const ClusterState& cluster, const Job& job)
       : cluster_(cluster), job_(job), limited_(cluster.has_oversized_shards(job)) {}
 
-  bool take(std::uint32_t task) {
+  // Counts the task; false when its record has no room for it.
+  bool add(std::uint32_t task) {
     if (!limited_) return true;
     const std::uint32_t shard = job_.shard_of(task);
-    const auto [left, made] = left_.try_emplace(shard, 0);
-    if (made) left->second = cluster_.record_bytes_left(job_, shard) / kCommonTaskBytes;
+    const auto [left, added] = tasks_left_.try_emplace(shard, 0);
+    if (added) left->second = cluster_.record_bytes_left(job_, shard) / kTypicalTaskBytes;
     if (left->second == 0) return false;
     --left->second;
     return true;
@@ -28,10 +29,10 @@
   const ClusterState& cluster_;
   const Job& job_;
   bool limited_;
-  std::map<std::uint32_t, size_t> left_;  // by shard
+  std::map<std::uint32_t, size_t> tasks_left_;  // by shard
 };
 
-bool waits_after_ends(const Job& job, std::uint32_t task, Seconds now) {
+bool in_restart_backoff(const Job& job, std::uint32_t task, Seconds now) {
   const auto it = job.restarts.find(task);
   return it != job.restarts.end() && now < it->second.retry_at;
 }
@@ -41,10 +42,10 @@
 std::vector<std::uint32_t> ready_tasks(const ClusterState& cluster, const Job& job,
                                        std::uint32_t most, Seconds now) {
   std::vector<std::uint32_t> out;
-  RecordRoom records(cluster, job);
+  RecordCapacity records(cluster, job);
   for (const std::uint32_t task : job.requeued) {
     if (out.size() >= most) return out;
-    if (!waits_after_ends(job, task, now) && records.take(task)) out.push_back(task);
+    if (!in_restart_backoff(job, task, now) && records.add(task)) out.push_back(task);
   }
   for (std::uint32_t task = job.next_never_placed; task < job.spec.tasks && out.size() < most;
        ++task) {
--- a/src/coordination/scheduling/replica_migration.cpp
+++ b/src/coordination/scheduling/replica_migration.cpp
@@ -3,7 +3,7 @@
 namespace larkroad::coordination {
 namespace {
 
-bool must_move(const ClusterState& cluster, const TaskId& id) {
+bool must_migrate(const ClusterState& cluster, const TaskId& id) {
   const Job* job = cluster.job(id.job);
   if (job == nullptr || !job->spec.is_service() || job->cancelled) return false;
   const auto it = job->placements.find(id.task);
@@ -18,7 +18,7 @@
   for (const auto& [name, machine] : cluster.machines()) {
     if (!machine.reclaimed_at && !machine.quarantined) continue;
     for (const TaskId& id : machine.tasks) {
-      if (must_move(cluster, id)) out.push_back({id.job, id.task, name});
+      if (must_migrate(cluster, id)) out.push_back({id.job, id.task, name});
     }
   }
   return out;
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -80,16 +80,16 @@
     spec.team = i % 3 == 0 ? "red" : "blue";
     testing::add(cluster, spec, i * 0.01);
   }
-  EXPECT_EQ(round().looked_at, 0u);
+  EXPECT_EQ(round().machines_considered, 0u);
   cluster.unplace(filler, 7, 100);
   const Plan one_free = round();
   EXPECT_EQ(one_free.assignments.size(), 1u);
-  EXPECT_LE(one_free.looked_at, 2u * kJobs);
+  EXPECT_LE(one_free.machines_considered, 2u * kJobs);
   // Urgent work that finds nothing looks for what to stop: once for its kind, not once a job.
   for (int i = 1; i <= kJobs; ++i)
     cluster.job("job-" + std::to_string(i))->spec.priority = protocol::Priority::production;
   filler.spec.priority = protocol::Priority::production;
-  EXPECT_LE(round().looked_at, 2u * kJobs + 4u * kMachines);
+  EXPECT_LE(round().machines_considered, 2u * kJobs + 4u * kMachines);
 }
 
 // Who comes first when a large job and a later, small one cannot both be done in time.
