--- a/src/coordination/leader/leader_cloud.cpp
+++ b/src/coordination/leader/leader_cloud.cpp
@@ -145,10 +145,10 @@
             cluster_.set_type(machine, request.type);
           }
           if (static_cast<int>(names.size()) < request.count) {
-            capacity_backoff_.refused(market, clock_.now(), settings_.list_lag_s,
-                                      settings_.list_lag_s * 8);
+            capacity_backoff_.record_failure(market, clock_.now(), settings_.list_lag_s,
+                                             settings_.list_lag_s * 8);
           } else {
-            capacity_backoff_.granted(market);
+            capacity_backoff_.record_success(market);
           }
           return;
         }
@@ -158,8 +158,8 @@
           spdlog::info("cloud has no {} in {}{}", request.type, request.zone,
                        request.spot ? " (spot)" : "");
           settled();
-          capacity_backoff_.refused(market, clock_.now(), settings_.list_lag_s,
-                                    settings_.list_lag_s * 8);
+          capacity_backoff_.record_failure(market, clock_.now(), settings_.list_lag_s,
+                                           settings_.list_lag_s * 8);
           return;
         }
         // Without an answer it is repeated as it was, whether or not it was carried out.
--- a/src/coordination/scaling/autoscaler.hpp
+++ b/src/coordination/scaling/autoscaler.hpp
@@ -1,16 +1,19 @@
-// How many machines of which kind to rent and to return. Functions of the cluster and the time.
+/// The autoscaler: decides how many machines of which kind to request from the cloud (scale out)
+/// and which to return (scale in).
+///
+/// Decisions are functions of the cluster's state and the time; the leader carries them out and
+/// reports the cloud's answers to `CapacityBackoff`.
 #pragma once
 
 #include <map>
 #include <string>
-#include <tuple>
 #include <vector>
 
 #include "coordination/cluster_state/cluster_state.hpp"
 
 namespace larkroad::coordination {
 
-// A market: machines of one type, in one zone, of one kind.
+/// What the cloud offers machines by: one type in one zone, spot or on demand.
 struct Market {
   std::string type;
   std::string zone;
@@ -18,12 +21,18 @@
   auto operator<=>(const Market&) const = default;
 };
 
-// What the cloud has lately refused; asked again after a pause that grows.
+/// Markets in which the cloud has lately had no capacity. Each is tried again after a pause that
+/// doubles with every failure.
 class CapacityBackoff {
  public:
-  void refused(const Market& market, Seconds now, Seconds first_pause, Seconds longest_pause);
-  void granted(const Market& market) { pauses_.erase(market); }
-  bool open(const Market& market, Seconds now) const;
+  /// Records that a request has failed. The first pause takes `first_pause`; no pause takes longer
+  /// than `longest_pause`.
+  void record_failure(const Market& market, Seconds now, Seconds first_pause,
+                      Seconds longest_pause);
+  /// Records that a request has been granted, which ends the pauses.
+  void record_success(const Market& market) { pauses_.erase(market); }
+  /// Whether machines may be requested in the market now.
+  bool may_request(const Market& market, Seconds now) const;
   void clear() { pauses_.clear(); }
 
  private:
@@ -34,6 +43,7 @@
   std::map<Market, Pause> pauses_;
 };
 
+/// Machines to be requested in one market.
 struct ScaleOut {
   Market market;
   int count = 1;
@@ -41,11 +51,12 @@
 
 struct ScalingPlan {
   std::vector<ScaleOut> scale_out;
-  std::vector<std::string> scale_in;
+  std::vector<std::string> scale_in;  ///< the names of the machines to be returned
 };
 
-// `pending`: machines asked for without an answer so far.
-ScalingPlan plan_scaling(ClusterState& cluster, const CapacityBackoff& refusals,
+/// Decides one round of scaling. `pending`: machines that have been requested without an answer so
+/// far, by market. `start_bound`: as in `aging_of`.
+ScalingPlan plan_scaling(ClusterState& cluster, const CapacityBackoff& backoff,
                          const std::map<Market, int>& pending, Seconds now, Seconds start_bound);
 
 }  // namespace larkroad::coordination
--- a/src/coordination/scaling/machine_catalog.hpp
+++ b/src/coordination/scaling/machine_catalog.hpp
@@ -1,7 +1,8 @@
-// The machine types this node knows, and how it came to know them.
+/// The machine types that this controller knows.
 #pragma once
 
 #include <functional>
+#include <string>
 #include <vector>
 
 #include "protocol/cloud_messages.hpp"
@@ -13,30 +14,38 @@
 
 using transport::Seconds;
 
-// Read from the state service at start, else from the cloud; the leader refreshes the prices.
+/// Reads the catalog of machine types from the key-value store at start, or else from the cloud,
+/// and stores what the cloud has answered for the other controllers. The leader refreshes the
+/// prices. Owned by the controller, on the one thread of the event loop.
 class MachineCatalog {
  public:
   MachineCatalog(transport::Clock& clock, transport::Client& client, storage::KeyValueClient& store,
                  const Settings& settings)
       : clock_(clock), client_(client), store_(store), settings_(settings) {}
 
+  /// Reads the catalog, again and again until it is known.
   void start();
-  // Asks the cloud for the present types and prices.
+  /// Asks the cloud for the present types and prices. On a failure those known before stay.
   void refresh();
   bool known() const { return !types_.empty(); }
   const std::vector<protocol::MachineType>& types() const { return types_; }
+  /// Called after every change of the types.
   std::function<void()> on_change = [] {};
 
  private:
-  void read_state();
+  void read_stored();
+  void handle_stored(storage::Status status, const storage::Entry& entry);
+  bool adopt_stored(const storage::Entry& entry);
+  void handle_answer(transport::Outcome outcome, const transport::Response& response);
   void adopt(std::vector<protocol::MachineType> types);
+  void store();
 
   transport::Clock& clock_;
   transport::Client& client_;
   storage::KeyValueClient& store_;
   const Settings& settings_;
   std::vector<protocol::MachineType> types_;
-  bool stored_ = false;
+  bool stored_ = false;  // in the key-value store, or too large to be
 };
 
 }  // namespace larkroad::coordination
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -91,7 +91,8 @@
   for (const auto& rent : round().scale_out) by_zone[rent.market.zone] += rent.count;
   EXPECT_EQ(by_zone["east"], by_zone["west"]);
   // What is refused in the one is looked for in the other.
-  for (const auto& type : testing::types()) refusals.refused({type.name, "east", false}, 100, 5, 9);
+  for (const auto& type : testing::types())
+    refusals.record_failure({type.name, "east", false}, 100, 5, 9);
   for (const auto& rent : round().scale_out) EXPECT_EQ(rent.market.zone, "west");
 }
 
@@ -107,7 +108,7 @@
 TEST_F(Fleet, TurnsToAnotherMarketWhenRefused) {
   testing::add(cluster, testing::spec("job-1"));
   const Market first = round().scale_out.at(0).market;
-  refusals.refused(first, 100, 5, 40);
+  refusals.record_failure(first, 100, 5, 40);
   EXPECT_NE(round().scale_out.at(0).market, first);
   EXPECT_EQ(round(106).scale_out.at(0).market, first);
 }
@@ -116,14 +117,14 @@
   const Market market{"small", "east", false};
   Seconds now = 0;
   for (const Seconds pause : {5.0, 10.0, 20.0, 40.0, 40.0}) {
-    refusals.refused(market, now, 5, 40);
-    EXPECT_FALSE(refusals.open(market, now + pause - 0.1));
-    EXPECT_TRUE(refusals.open(market, now + pause));
+    refusals.record_failure(market, now, 5, 40);
+    EXPECT_FALSE(refusals.may_request(market, now + pause - 0.1));
+    EXPECT_TRUE(refusals.may_request(market, now + pause));
     now += 100;
   }
-  refusals.granted(market);
-  refusals.refused(market, now, 5, 40);
-  EXPECT_TRUE(refusals.open(market, now + 5));
+  refusals.record_success(market);
+  refusals.record_failure(market, now, 5, 40);
+  EXPECT_TRUE(refusals.may_request(market, now + 5));
 }
 
 TEST_F(Fleet, ReturnsWhatIsOfNoUse) {
