--- a/src/coordination/cluster_state/cluster_state.cpp
+++ b/src/coordination/cluster_state/cluster_state.cpp
@@ -165,9 +165,9 @@
 
 void ClusterState::remove_machine(const std::string& name) { machines_.erase(name); }
 
-void ClusterState::set_type(Machine& machine, const std::string& name) {
-  machine.type = name;
-  if (const MachineType* known = type(name)) machine.capacity = capacity_of(*known);
+void ClusterState::set_type(Machine& machine, const std::string& type) {
+  machine.type = type;
+  if (const MachineType* known = this->type(type)) machine.capacity = capacity_of(*known);
 }
 
 Placement& ClusterState::place(Job& job, std::uint32_t task, Machine& machine,
--- a/src/coordination/scaling/machine_catalog.cpp
+++ b/src/coordination/scaling/machine_catalog.cpp
@@ -6,6 +6,7 @@
 namespace {
 
 constexpr Seconds kCloudTimeout = 5;
+constexpr int kHttpOk = 200;
 // How long a controller waits before it reads the catalog again, as a part of the heartbeat
 // interval: a few tries a second of the store and the cloud, from all controllers together.
 constexpr double kRetryRatio = 1.0 / 4;
@@ -50,7 +51,7 @@
 
 void MachineCatalog::handle_answer(transport::Outcome outcome,
                                    const transport::Response& response) {
-  if (outcome != transport::Outcome::answered || response.status != 200) return;
+  if (outcome != transport::Outcome::answered || response.status != kHttpOk) return;
   try {
     adopt(protocol::parse_catalog(response.body));
   } catch (const std::exception& error) {
