--- a/src/coordination/controller/controller.cpp
+++ b/src/coordination/controller/controller.cpp
@@ -206,15 +206,16 @@
     // Peers must know at once that workers stay with them from now on, or they would send on to
     // this node those that it sends to them. Past its lease it has nothing to tell, and would
     // otherwise tell it again with each report.
-    if (election_.leads() && leader_.relay_assignment().spread() != told_spread_) tell_peers_now();
+    if (election_.leads() && leader_.relay_assignment().distributes_workers() != told_spread_)
+      tell_peers_now();
     return;
   }
   aim_relay();
-  if ((spread_ && relay_.works()) || relay_.uses_store()) {
-    relay_.take(std::move(body), std::move(heartbeat), std::move(respond));
+  if ((spread_ && relay_.leader_reachable()) || relay_.uses_store_route()) {
+    relay_.forward(std::move(body), std::move(heartbeat), std::move(respond));
     return;
   }
-  const std::string& leader = relay_.aimed_at();
+  const std::string& leader = relay_.leader();
   respond({421, protocol::encode_redirect(leader == settings_.member ? "" : leader), 0, true});
 }
 
@@ -222,12 +223,12 @@
   const bool told = told_at_ >= 0 && clock_.now() - told_at_ < settings_.heartbeat_interval_s &&
                     told_fencing_token_ > election_.leader_revision();
   if (told) {
-    relay_.aim(told_leader_, told_fencing_token_);
+    relay_.set_leader(told_leader_, told_fencing_token_);
   } else {
-    relay_.aim(election_.leader(), election_.leader_revision());
+    relay_.set_leader(election_.leader(), election_.leader_revision());
   }
   // A leader of the first version would not look there.
-  relay_.allow_store(store_.failing_for() == 0 && versions_.all_understand(kServicesVersion));
+  relay_.allow_store_route(store_.failing_for() == 0 && versions_.all_understand(kServicesVersion));
 }
 
 bool Controller::is_peer(const std::string& member) const {
@@ -301,9 +302,9 @@
     message["workers"] = true;
   }
   // Whom this node relays to, if it reaches them.
-  if (relay_.works()) message["relays_to"] = relay_.aimed_at();
+  if (relay_.leader_reachable()) message["relays_to"] = relay_.leader();
   if (election_.leads()) {
-    spread_ = told_spread_ = leader_.relay_assignment().spread();
+    spread_ = told_spread_ = leader_.relay_assignment().distributes_workers();
     message["spread"] = spread_;
     auto progress = leader_.progress();
     protocol::Json jobs = protocol::Json::object();
@@ -320,7 +321,7 @@
     client_.call(
         peer.addr.text(), {"POST", kPeerPath, body}, settings_.heartbeat_interval_s * kTellRatio,
         [this, member = peer.member](transport::Outcome outcome, const transport::Response&) {
-          relay_.reached(member, outcome == transport::Outcome::answered);
+          relay_.record_peer_reply(member, outcome == transport::Outcome::answered);
         });
   }
 }
@@ -371,7 +372,7 @@
   }
   election_.superseded(fencing_token);
   if (const auto* to = protocol::find(message, "relays_to"); to != nullptr && election_.holds()) {
-    if (*to == settings_.member) leader_.relay_assignment().relays(member, clock_.now());
+    if (*to == settings_.member) leader_.relay_assignment().record_relay(member, clock_.now());
   }
   if (protocol::find(message, "spread") != nullptr && !election_.leads() &&
       fencing_token >= told_fencing_token_) {
--- a/src/coordination/leader/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -38,7 +38,7 @@
 
 void Leader::begin(bool spread) {
   scope_.restart();
-  relay_assignment_.clear(spread);
+  relay_assignment_.reset(spread);
   ready_ = false;
   loading_ = true;
   begun_at_ = clock_.now();
@@ -106,8 +106,8 @@
     end_sessions(machine, machine.incarnation + 1);
   }
   check_unreachable_machines();
-  relay_assignment_.count(listed_once_ ? std::optional(cluster_.machines().size()) : std::nullopt,
-                          now);
+  relay_assignment_.rebalance(
+      listed_once_ ? std::optional(cluster_.machines().size()) : std::nullopt, now);
   for (const auto& [id, job] : cluster_.jobs()) {
     if (job->write_in_flight) continue;
     persist(*job);
--- a/src/coordination/leader/leader_workers.cpp
+++ b/src/coordination/leader/leader_workers.cpp
@@ -56,10 +56,11 @@
                                              const std::string& via, RelayRoute route) {
   const Seconds now = clock_.now();
   if (route == RelayRoute::direct) {
-    const auto home = relay_assignment_.elsewhere(heartbeat.machine, heartbeat.zone, via, now);
+    const auto home =
+        relay_assignment_.choose_redirect(heartbeat.machine, heartbeat.zone, via, now);
     if (home) return {421, protocol::encode_redirect(*home), 0, true};
   }
-  relay_assignment_.reported(heartbeat.machine, via, now);
+  relay_assignment_.record_heartbeat(heartbeat.machine, via, now);
   Commands commands;
   if (!removed_machines_.contains(heartbeat.machine)) {
     Machine& machine = cluster_.machine(heartbeat.machine);
@@ -95,7 +96,7 @@
 
 std::vector<protocol::RelayedAnswer> Leader::handle_relayed_heartbeats(
     const protocol::RelayBatch& batch, RelayRoute route) {
-  relay_assignment_.relays(batch.member, clock_.now());
+  relay_assignment_.record_relay(batch.member, clock_.now());
   std::vector<protocol::RelayedAnswer> out;
   for (const auto& item : batch.heartbeats) {
     protocol::Heartbeat heartbeat;
--- a/src/coordination/relay/relay.cpp
+++ b/src/coordination/relay/relay.cpp
@@ -51,7 +51,7 @@
   drop_old_acknowledgements();
 }
 
-void Relay::aim(const std::string& member, std::uint64_t fencing_token) {
+void Relay::set_leader(const std::string& member, std::uint64_t fencing_token) {
   fencing_token_ = fencing_token;
   if (member == leader_) return;
   leader_ = member;
@@ -62,7 +62,7 @@
   }
 }
 
-void Relay::reached(const std::string& member, bool answered) {
+void Relay::record_peer_reply(const std::string& member, bool answered) {
   if (member != leader_) return;
   if (answered) {
     reachability_.record_answer();
@@ -71,14 +71,15 @@
   }
 }
 
-bool Relay::works() const { return leader_endpoint_ && reachability_.is_reachable(); }
+bool Relay::leader_reachable() const { return leader_endpoint_ && reachability_.is_reachable(); }
 
-bool Relay::uses_store() const {
+bool Relay::uses_store_route() const {
   return store_route_allowed_ && leader_endpoint_ && !reachability_.is_reachable() &&
          reachability_.is_partitioned();
 }
 
-void Relay::take(std::string payload, protocol::Heartbeat heartbeat, transport::Respond respond) {
+void Relay::forward(std::string payload, protocol::Heartbeat heartbeat,
+                    transport::Respond respond) {
   // No more than there can be workers connected, so that memory stays bounded.
   if (queue_.size() >= static_cast<size_t>(settings_.sockets)) {
     respond_unavailable(respond);
--- a/src/coordination/relay/relay.hpp
+++ b/src/coordination/relay/relay.hpp
@@ -38,20 +38,20 @@
         const Settings& settings);
 
   /// Who leads, as far as this controller knows (empty: nobody), and its fencing token.
-  void aim(const std::string& member, std::uint64_t fencing_token);
+  void set_leader(const std::string& member, std::uint64_t fencing_token);
   /// The leader that was set last; empty: none is known.
-  const std::string& aimed_at() const { return leader_; }
+  const std::string& leader() const { return leader_; }
   /// A call of this controller to `member` was answered, or was not.
-  void reached(const std::string& member, bool answered);
+  void record_peer_reply(const std::string& member, bool answered);
   /// Whether the leader is a peer that has answered this controller recently.
-  bool works() const;
-  /// Whether batches may go by way of the key-value store, see `uses_store`.
-  void allow_store(bool allowed) { store_route_allowed_ = allowed; }
+  bool leader_reachable() const;
+  /// Whether batches may go by way of the key-value store, see `uses_store_route`.
+  void allow_store_route(bool allowed) { store_route_allowed_ = allowed; }
   /// Whether batches go by way of the key-value store at present: it is allowed, and the leader is
   /// known to be alive but cannot be reached.
-  bool uses_store() const;
+  bool uses_store_route() const;
   /// Passes a heartbeat on; `payload` is its text as the worker sent it.
-  void take(std::string payload, protocol::Heartbeat heartbeat, transport::Respond respond);
+  void forward(std::string payload, protocol::Heartbeat heartbeat, transport::Respond respond);
 
  private:
   enum class Route { direct, store };
@@ -66,7 +66,7 @@
   };
   using Batch = std::vector<QueuedHeartbeat>;
 
-  Route route() const { return uses_store() ? Route::store : Route::direct; }
+  Route route() const { return uses_store_route() ? Route::store : Route::direct; }
   bool may_send_batch() const;
   void schedule_send();
   void send_queue();
--- a/src/coordination/relay/relay_assignment.cpp
+++ b/src/coordination/relay/relay_assignment.cpp
@@ -26,7 +26,7 @@
       leader_capacity_(static_cast<size_t>(settings.sockets * kLeaderSocketRatio)),
       relay_capacity_(static_cast<size_t>(settings.sockets * kRelaySocketRatio)) {}
 
-void RelayAssignment::clear(bool distributed) {
+void RelayAssignment::reset(bool distributed) {
   distributed_ = distributed;
   routes_.clear();
   worker_counts_.clear();
@@ -37,13 +37,13 @@
   return when && now - *when < settings_.heartbeat_interval_s * kRecentIntervals;
 }
 
-size_t RelayAssignment::at(const std::string& controller) const {
+size_t RelayAssignment::worker_count(const std::string& controller) const {
   const auto found = worker_counts_.find(controller);
   return found == worker_counts_.end() ? 0 : found->second;
 }
 
-void RelayAssignment::reported(const std::string& machine, const std::string& controller,
-                               Seconds now) {
+void RelayAssignment::record_heartbeat(const std::string& machine, const std::string& controller,
+                                       Seconds now) {
   WorkerRoute& route = routes_[machine];
   const bool counted = is_recent(route.last_heartbeat_at, now);
   if (!counted || route.controller != controller) {
@@ -52,16 +52,17 @@
     route.controller = controller;
   }
   route.last_heartbeat_at = now;
-  if (worker_counts_[controller] > share(controller)) distributed_ = true;
+  if (worker_counts_[controller] > capacity(controller)) distributed_ = true;
 }
 
-std::optional<std::string> RelayAssignment::elsewhere(const std::string& machine,
-                                                      const std::string& zone,
-                                                      const std::string& controller, Seconds now) {
+std::optional<std::string> RelayAssignment::choose_redirect(const std::string& machine,
+                                                            const std::string& zone,
+                                                            const std::string& controller,
+                                                            Seconds now) {
   WorkerRoute& route = routes_[machine];
   const bool counted = route.controller == controller && is_recent(route.last_heartbeat_at, now);
-  const size_t count_with_it = at(controller) + (counted ? 0 : 1);
-  if (count_with_it <= share(controller)) return std::nullopt;
+  const size_t count_with_it = worker_count(controller) + (counted ? 0 : 1);
+  if (count_with_it <= capacity(controller)) return std::nullopt;
   // One that returns from where it was redirected to is served, so that nobody is redirected in
   // circles.
   if (is_recent(route.redirected_at, now)) return std::nullopt;
@@ -69,7 +70,7 @@
   const PeerSettings* relay = choose_relay(zone, controller, now);
   if (relay == nullptr) return std::nullopt;
   route.redirected_at = now;
-  // Counted at once, so that the next worker sees it; `count` corrects it if it never arrives.
+  // Counted at once, so that the next worker sees it; `rebalance` corrects it if it never arrives.
   ++worker_counts_[relay->member];
   return relay->member;
 }
@@ -78,14 +79,14 @@
   const auto announced = relay_announced_at_.find(member);
   return announced != relay_announced_at_.end() &&
          now - announced->second <= settings_.heartbeat_interval_s * kAnnouncedIntervals &&
-         at(member) < relay_capacity_;
+         worker_count(member) < relay_capacity_;
 }
 
 const PeerSettings* RelayAssignment::choose_relay(const std::string& zone,
                                                   const std::string& excluded, Seconds now) const {
   const auto rank = [&](const PeerSettings& peer) {
     const bool other_zone = peer.zone != zone;
-    return std::make_tuple(other_zone, at(peer.member), peer.member);
+    return std::make_tuple(other_zone, worker_count(peer.member), peer.member);
   };
   const PeerSettings* best = nullptr;
   for (const auto& peer : settings_.peers) {
@@ -95,7 +96,7 @@
   return best;
 }
 
-void RelayAssignment::count(std::optional<size_t> machine_count, Seconds now) {
+void RelayAssignment::rebalance(std::optional<size_t> machine_count, Seconds now) {
   worker_counts_.clear();
   std::erase_if(routes_, [&](const auto& entry) {
     const WorkerRoute& route = entry.second;
--- a/src/coordination/relay/relay_assignment.hpp
+++ b/src/coordination/relay/relay_assignment.hpp
@@ -26,28 +26,28 @@
 
   /// Starts anew for a term of leadership. `distributed`: whether the previous leader could not
   /// serve all workers itself.
-  void clear(bool distributed);
+  void reset(bool distributed);
 
   /// `member` has said that it reaches this leader and relays to it.
-  void relays(const std::string& member, Seconds now) { relay_announced_at_[member] = now; }
+  void record_relay(const std::string& member, Seconds now) { relay_announced_at_[member] = now; }
   /// A heartbeat of `machine` has come by way of `controller`.
-  void reported(const std::string& machine, const std::string& controller, Seconds now);
+  void record_heartbeat(const std::string& machine, const std::string& controller, Seconds now);
   /// The controller that the worker on `machine`, in `zone`, is to be redirected to; none: it stays
-  /// with `controller`. To be called for each heartbeat before `reported`.
-  std::optional<std::string> elsewhere(const std::string& machine, const std::string& zone,
-                                       const std::string& controller, Seconds now);
+  /// with `controller`. To be called for each heartbeat before `record_heartbeat`.
+  std::optional<std::string> choose_redirect(const std::string& machine, const std::string& zone,
+                                             const std::string& controller, Seconds now);
   /// Counts the workers of each controller anew, drops machines that no longer report, and decides
   /// whether the leader can serve all. `machine_count`: of all machines; none while it is unknown.
-  void count(std::optional<size_t> machine_count, Seconds now);
+  void rebalance(std::optional<size_t> machine_count, Seconds now);
 
   /// Whether workers are distributed over the controllers at present.
-  bool spread() const { return distributed_; }
+  bool distributes_workers() const { return distributed_; }
   /// The most workers that are to connect to `controller`.
-  size_t share(const std::string& controller) const {
+  size_t capacity(const std::string& controller) const {
     return controller.empty() ? leader_capacity_ : relay_capacity_;
   }
   /// The workers that connect to `controller`, as counted at present.
-  size_t at(const std::string& controller) const;
+  size_t worker_count(const std::string& controller) const;
 
  private:
   struct WorkerRoute {
--- a/src/coordination/relay/store_relay_limits.hpp
+++ b/src/coordination/relay/store_relay_limits.hpp
@@ -3,8 +3,8 @@
 
 namespace larkroad::coordination {
 
-/// The part of a value's largest size that heartbeats, or the answers to them, may fill; the rest is
-/// for what the record has around them.
+/// The part of a value's largest size that heartbeats, or the answers to them, may fill; the rest
+/// is for what the record has around them.
 inline constexpr double kRelayFillRatio = 0.75;
 
 }  // namespace larkroad::coordination
--- a/tests/relay_assignment_test.cpp
+++ b/tests/relay_assignment_test.cpp
@@ -14,68 +14,69 @@
 class RelayAssignmentTest : public ::testing::Test {
  protected:
   RelayAssignmentTest() : settings(testing::settings()), relay_assignment(settings) {
-    relay_assignment.relays("node-1", 0);  // in the west
-    relay_assignment.relays("node-2", 0);  // in the east
+    relay_assignment.record_relay("node-1", 0);  // in the west
+    relay_assignment.record_relay("node-2", 0);  // in the east
   }
-  // Workers from `from` to `to` come straight to the leader; how many were sent on, and where to.
-  std::map<std::string, int> come(int from, int to, Seconds now) {
+  // Workers from `from` to `to` report directly to the leader; how many were redirected, and where
+  // to (empty: they stay).
+  std::map<std::string, int> report_directly(int from, int to, Seconds now) {
     std::map<std::string, int> out;
     for (int i = from; i < to; ++i) {
       const std::string name = "i-" + std::to_string(i);
-      const auto home = relay_assignment.elsewhere(name, "east", "", now);
-      ++out[home.value_or("")];
-      if (!home) relay_assignment.reported(name, "", now);
+      const auto redirect = relay_assignment.choose_redirect(name, "east", "", now);
+      ++out[redirect.value_or("")];
+      if (!redirect) relay_assignment.record_heartbeat(name, "", now);
     }
     return out;
   }
   Settings settings;
   RelayAssignment relay_assignment;
-  const int own = static_cast<int>(relay_assignment.share(""));
-  const int relay = static_cast<int>(relay_assignment.share("node-1"));
+  const int own = static_cast<int>(relay_assignment.capacity(""));
+  const int relay = static_cast<int>(relay_assignment.capacity("node-1"));
 };
 
 TEST_F(RelayAssignmentTest, AFewWorkersStayWithTheLeader) {
-  EXPECT_EQ(come(0, own, 1), (std::map<std::string, int>{{"", own}}));
-  EXPECT_FALSE(relay_assignment.spread());
+  EXPECT_EQ(report_directly(0, own, 1), (std::map<std::string, int>{{"", own}}));
+  EXPECT_FALSE(relay_assignment.distributes_workers());
 }
 
 TEST_F(RelayAssignmentTest, ManyAreDistributedOverTheRelaysTheirOwnZoneFirst) {
   EXPECT_GT(relay, own);
-  EXPECT_EQ(come(0, own + relay + 5, 1),
+  EXPECT_EQ(report_directly(0, own + relay + 5, 1),
             (std::map<std::string, int>{{"", own}, {"node-1", 5}, {"node-2", relay}}));
-  EXPECT_TRUE(relay_assignment.spread());
-  // Those who are seated stay.
-  EXPECT_EQ(come(0, own, 2), (std::map<std::string, int>{{"", own}}));
+  EXPECT_TRUE(relay_assignment.distributes_workers());
+  // Those that are counted there already stay.
+  EXPECT_EQ(report_directly(0, own, 2), (std::map<std::string, int>{{"", own}}));
 }
 
 TEST_F(RelayAssignmentTest, NobodyIsRedirectedInCircles) {
-  come(0, own, 1);
-  EXPECT_EQ(come(900, 901, 1).count(""), 0u);
-  EXPECT_EQ(come(900, 901, 1.2).count(""), 1u);  // it comes back: it is served
+  report_directly(0, own, 1);
+  EXPECT_EQ(report_directly(900, 901, 1).count(""), 0u);
+  EXPECT_EQ(report_directly(900, 901, 1.2).count(""), 1u);  // it returns: it is served
 }
 
 TEST_F(RelayAssignmentTest, WithoutARelayTheLeaderServesThemAll) {
   const Seconds later = settings.heartbeat_interval_s * 3;
-  EXPECT_EQ(come(0, 500, later), (std::map<std::string, int>{{"", 500}}));
+  EXPECT_EQ(report_directly(0, 500, later), (std::map<std::string, int>{{"", 500}}));
 }
 
 TEST_F(RelayAssignmentTest, ARelayAtItsCapacityRedirectsToAnother) {
   for (size_t i = 0; i < static_cast<size_t>(relay); ++i) {
-    relay_assignment.reported("i-" + std::to_string(i), "node-1", 1);
+    relay_assignment.record_heartbeat("i-" + std::to_string(i), "node-1", 1);
   }
-  EXPECT_EQ(relay_assignment.elsewhere("i-0", "west", "node-1", 1), std::nullopt);
-  EXPECT_EQ(relay_assignment.elsewhere("i-900", "west", "node-1", 1), "node-2");
+  EXPECT_EQ(relay_assignment.choose_redirect("i-0", "west", "node-1", 1), std::nullopt);
+  EXPECT_EQ(relay_assignment.choose_redirect("i-900", "west", "node-1", 1), "node-2");
 }
 
 TEST_F(RelayAssignmentTest, WorkersReturnToTheLeaderWhenThereAreFew) {
-  come(0, own + 1, 1);
-  ASSERT_TRUE(relay_assignment.spread());
-  relay_assignment.count(std::nullopt, 2);  // how many there are is not known yet
-  EXPECT_TRUE(relay_assignment.spread());
-  relay_assignment.count(own, 2);
-  EXPECT_TRUE(relay_assignment.spread());
-  relay_assignment.count(own / 2, 2);
-  EXPECT_FALSE(relay_assignment.spread());
+  report_directly(0, own + 1, 1);
+  ASSERT_TRUE(relay_assignment.distributes_workers());
+  relay_assignment.rebalance(std::nullopt, 2);  // how many there are is not known yet
+  EXPECT_TRUE(relay_assignment.distributes_workers());
+  relay_assignment.rebalance(own, 2);
+  EXPECT_TRUE(relay_assignment.distributes_workers());
+  relay_assignment.rebalance(own / 2, 2);
+  EXPECT_FALSE(relay_assignment.distributes_workers());
 }
 
 }  // namespace
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -87,16 +87,16 @@
         state(clock, client, settings),
         store(clock, state, settings),
         relay(clock, client, store, settings) {
-    relay.aim("node-1", 5);
-    relay.reached("node-1", true);
+    relay.set_leader("node-1", 5);
+    relay.record_peer_reply("node-1", true);
   }
   void heartbeat(std::uint64_t sequence, const std::string& legs = "[]") {
     const std::string payload =
         R"({"perch":"i-1","address":"10.1.0.1:9000","breed":"small","yard":"east","loaners":false,)"
         R"("flight":1,"tick":)" +
         std::to_string(sequence) + R"(,"baton":5,"recallS":null,"legs":)" + legs + "}";
-    relay.take(payload, protocol::parse_heartbeat(payload),
-               [this](Response response) { responses.push_back(std::move(response)); });
+    relay.forward(payload, protocol::parse_heartbeat(payload),
+                  [this](Response response) { responses.push_back(std::move(response)); });
     clock.run(settings.heartbeat_interval_s / 50);
   }
   void answer(int status, const std::string& body = R"({"baton":5,"calls":[]})") {
@@ -120,17 +120,17 @@
   EXPECT_EQ(client.calls[0].endpoint, "127.0.0.2:18081");
   EXPECT_FALSE(client.calls[0].batch.heartbeats[0].payload.empty());
   EXPECT_TRUE(responses.empty());  // nothing by itself
-  answer(200, "the leader's words");
+  answer(200, "the leader's answer");
   ASSERT_EQ(responses.size(), 1u);
   EXPECT_EQ(responses[0].status, 200);
-  EXPECT_EQ(responses[0].body, "the leader's words");
+  EXPECT_EQ(responses[0].body, "the leader's answer");
 
   heartbeat(2);
   EXPECT_TRUE(client.calls[0].batch.heartbeats[0].payload.empty());
   EXPECT_EQ(client.calls[0].batch.heartbeats[0].sequence, 2u);
   EXPECT_EQ(client.calls[0].batch.heartbeats[0].base_sequence, 1u);
   answer(200);
-  // Once something has changed it goes in its own words again.
+  // Once something has changed the payload goes again.
   heartbeat(3, R"([{"leg":"job-1/0","try":1,"stage":"running"}])");
   EXPECT_FALSE(client.calls[0].batch.heartbeats[0].payload.empty());
 }
@@ -183,8 +183,8 @@
     c.reply(call);
     ASSERT_EQ(responses.size(), 1u) << c.what;
     EXPECT_EQ(responses[0].status, 503) << c.what;
-    EXPECT_FALSE(relay.works()) << c.what;
-    relay.reached("node-1", true);
+    EXPECT_FALSE(relay.leader_reachable()) << c.what;
+    relay.record_peer_reply("node-1", true);
   }
 }
 
@@ -206,12 +206,13 @@
 }
 
 TEST_F(RelayTest, QueueIsBoundedAndAnsweredInTime) {
-  // Two batches hang; what comes meanwhile waits, up to the bound, and is answered in time.
+  // Two batches go unanswered; what comes meanwhile is queued, up to the bound.
   heartbeat(1);
   heartbeat(2);
   ASSERT_EQ(client.calls.size(), 2u);
   for (int i = 0; i < settings.sockets + 10; ++i) {
-    relay.take("{}", {}, [this](Response response) { responses.push_back(std::move(response)); });
+    relay.forward("{}", {},
+                  [this](Response response) { responses.push_back(std::move(response)); });
   }
   EXPECT_EQ(responses.size(), 10u);
   clock.run(2);
