--- a/src/coordination/relay/store_relay_client.cpp
+++ b/src/coordination/relay/store_relay_client.cpp
@@ -1,8 +1,10 @@
 #include "coordination/relay/store_relay_client.hpp"
 
 #include <algorithm>
+#include <optional>
 #include <string>
 #include <utility>
+#include <vector>
 
 #include "coordination/relay/store_relay_limits.hpp"
 #include "log.hpp"
@@ -19,6 +21,17 @@
 constexpr double kWriteShare = 0.3;
 constexpr double kChangesPerBatch = 2;
 
+// The answer to the batch of this number; the same key may still hold that to an earlier one.
+std::optional<transport::Response> find_answer(const std::vector<storage::Event>& events,
+                                               const std::string& key, std::uint64_t number) {
+  for (const auto& event : events) {
+    if (event.key != key || event.deleted) continue;
+    const auto record = storage::decode_relay_answer(event.data);
+    if (record.number == number) return transport::Response{record.status, record.body, 0};
+  }
+  return std::nullopt;
+}
+
 }  // namespace
 
 StoreRelayClient::StoreRelayClient(transport::Clock& clock, storage::KeyValueClient& store,
@@ -86,14 +99,10 @@
 bool StoreRelayClient::deliver_answer(const BatchInFlight& batch,
                                       const storage::WatchReply& reply) {
   const std::string key = storage::relay_answer_key(settings_.member, std::to_string(batch.slot));
-  for (const auto& event : reply.events) {
-    if (event.key != key || event.deleted) continue;
-    const auto record = storage::decode_relay_answer(event.data);
-    if (record.number != batch.number) continue;
-    finish(batch, Outcome::answered, {record.status, record.body, 0});
-    return true;
-  }
-  return false;
+  const auto answer = find_answer(reply.events, key, batch.number);
+  if (!answer) return false;
+  finish(batch, Outcome::answered, *answer);
+  return true;
 }
 
 void StoreRelayClient::finish(const BatchInFlight& batch, Outcome outcome,
