--- a/src/coordination/controller/heartbeat_router.cpp
+++ b/src/coordination/controller/heartbeat_router.cpp
@@ -53,7 +53,7 @@
   // Past its lease the leader announces nothing, so it would find the change again with each
   // heartbeat.
   if (components_.election.leads() &&
-      components_.leader.relay_assignment().spread() != components_.announcements.last_sent()) {
+      components_.leader.relay_assignment().distributes_workers() != components_.announcements.last_sent()) {
     on_distribution_changed();
   }
 }
--- a/src/coordination/controller/peer_gossip.cpp
+++ b/src/coordination/controller/peer_gossip.cpp
@@ -65,7 +65,7 @@
 }
 
 void PeerGossip::add_leader_status(protocol::PeerStatus& status) {
-  const bool distributes_workers = components_.leader.relay_assignment().spread();
+  const bool distributes_workers = components_.leader.relay_assignment().distributes_workers();
   status.distributes_workers = distributes_workers;
   components_.announcements.sent(distributes_workers);
   auto progress = components_.leader.progress();
@@ -81,7 +81,7 @@
   components_.peers.observe(status, now);
   components_.election.superseded(status.fencing_token);
   if (components_.election.holds() && status.relays_to == settings_.member) {
-    components_.leader.relay_assignment().relays(status.member, now);
+    components_.leader.relay_assignment().record_relay(status.member, now);
   }
   observe_leader_announcement(status);
   observe_job_progress(status);
--- a/src/coordination/leader/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -47,7 +47,7 @@
 void Leader::begin(bool spread) {
   scope_.restart();
   command_dispatcher_.restart();
-  relay_assignment_.clear(spread);
+  relay_assignment_.reset(spread);
   ready_ = false;
   loading_ = true;
   begun_at_ = clock_.now();
@@ -97,7 +97,7 @@
   if (!election_.leads()) return;
   machine_health_.expire_leases();
   machine_health_.check_unreachable();
-  relay_assignment_.count(listed_once_ ? std::optional(cluster_.machines().size()) : std::nullopt,
+  relay_assignment_.rebalance(listed_once_ ? std::optional(cluster_.machines().size()) : std::nullopt,
                           now);
   for (const auto& [id, job] : cluster_.jobs()) {
     if (job->write_in_flight) continue;
--- a/src/coordination/workers/heartbeat_endpoint.cpp
+++ b/src/coordination/workers/heartbeat_endpoint.cpp
@@ -39,10 +39,10 @@
                                               RecordsState records) {
   const Seconds now = clock_.now();
   if (route == RelayRoute::direct) {
-    const auto target = relay_assignment_.elsewhere(heartbeat.machine, heartbeat.zone, via, now);
+    const auto target = relay_assignment_.choose_redirect(heartbeat.machine, heartbeat.zone, via, now);
     if (target) return {kStatusMisdirected, protocol::encode_redirect(*target), 0, true};
   }
-  relay_assignment_.reported(heartbeat.machine, via, now);
+  relay_assignment_.record_heartbeat(heartbeat.machine, via, now);
   const Commands commands = process(heartbeat, records);
   return {kStatusOk, protocol::encode_heartbeat_response(election_.fencing_token(), commands), 0,
           true};
@@ -71,7 +71,7 @@
 
 std::vector<RelayedAnswer> HeartbeatEndpoint::handle_batch(const protocol::RelayBatch& batch,
                                                            RelayRoute route, RecordsState records) {
-  relay_assignment_.relays(batch.member, clock_.now());
+  relay_assignment_.record_relay(batch.member, clock_.now());
   std::vector<RelayedAnswer> answers;
   for (const auto& item : batch.heartbeats) {
     answers.push_back(handle_relayed(item, batch.member, route, records));
