--- a/src/coordination/cluster_state/cluster_state.cpp
+++ b/src/coordination/cluster_state/cluster_state.cpp
@@ -158,8 +158,7 @@
 
 void ClusterState::remove_job(const std::string& id) { jobs_.erase(id); }
 
-void ClusterState::load_done(Job& job,
-                             const std::vector<std::pair<std::uint32_t, std::uint32_t>>& ranges,
+void ClusterState::load_done(Job& job, const std::vector<storage::TaskRange>& ranges,
                              std::uint32_t end) {
   for (const auto& [from, to] : ranges) {
     for (std::uint32_t task = from; task <= to && task < end; ++task) {
@@ -226,10 +225,10 @@
   const std::uint32_t end = std::min(first + job.tasks_per_shard, job.spec.tasks);
   for (std::uint32_t task = first; task < end; ++task) {
     if (!job.done[task]) continue;
-    if (!record.done.empty() && record.done.back().second + 1 == task) {
-      record.done.back().second = task;
+    if (!record.done.empty() && record.done.back().last + 1 == task) {
+      record.done.back().last = task;
     } else {
-      record.done.emplace_back(task, task);
+      record.done.push_back({task, task});
     }
   }
   for (auto p = job.placements.lower_bound(first); p != job.placements.end() && p->first < end;
--- a/src/coordination/cluster_state/cluster_state.hpp
+++ b/src/coordination/cluster_state/cluster_state.hpp
@@ -184,8 +184,8 @@
       -1;  // the newest that the worker brought; at first when it was first heard
   Seconds lease_renewed_at = -1;  // the last 200 that any leader may have given it
   Seconds listed_at = -1;
-  Seconds known_to_exist_at = -1;  // it was there by then: rented, reporting, or in an earlier
-                                   // leader's records
+  Seconds known_to_exist_at = -1;       // it was there by then: rented, reporting, or in an earlier
+                                        // leader's records
   std::optional<Seconds> reclaimed_at;  // from the spot notice
   bool lease_expired = false;           // its lease has run out unanswered; it must report anew
   Seconds lease_expired_at = -1;        // when that was found
@@ -290,9 +290,7 @@
 
  private:
   // Marks the tasks of these ranges as done, as far as they lie before `end`.
-  static void load_done(Job& job,
-                        const std::vector<std::pair<std::uint32_t, std::uint32_t>>& ranges,
-                        std::uint32_t end);
+  static void load_done(Job& job, const std::vector<storage::TaskRange>& ranges, std::uint32_t end);
   void release(Job& job, std::uint32_t task, Seconds now);
 
   const Settings& settings_;
--- a/src/coordination/leader/leader_loading.cpp
+++ b/src/coordination/leader/leader_loading.cpp
@@ -84,10 +84,9 @@
   const Seconds now = clock_.now();
   size_t placed = 0;
   for (const auto& entry : loaded_placements_) {
-    std::string id;
-    std::uint32_t shard = 0;
-    if (!storage::parse_placement_key(entry.key, id, shard)) continue;
-    Job* job = cluster_.job(id);
+    const auto placement_key = storage::parse_placement_key(entry.key);
+    if (!placement_key) continue;
+    Job* job = cluster_.job(placement_key->job);
     if (job == nullptr) {
       garbage_.push_back(entry.key);
       continue;
@@ -96,7 +95,7 @@
       const auto record = storage::decode_placement_record(entry.data);
       placed += record.placed.size();
       // An earlier leader's launches may still be on their way, under any token below this one.
-      cluster_.restore_placements(*job, shard, record, entry.revision,
+      cluster_.restore_placements(*job, placement_key->shard, record, entry.revision,
                                   election_.fencing_token() - 1, now);
     } catch (const std::exception& error) {
       // Not ours to guess at: without this record a task could run twice.
--- a/src/coordination/leader/leader_records.cpp
+++ b/src/coordination/leader/leader_records.cpp
@@ -311,7 +311,7 @@
     }
     std::sort(by_use.begin(), by_use.end());
     storage::Images images;
-    for (auto& [used, image] : by_use) images.push_back(std::move(image));
+    for (auto& [used, image] : by_use) images.push_back({std::move(image.first), image.second});
     const double value_bytes = settings_.lasting_store_limits().value_bytes();
     while (images.size() > 1 && !storage::fits_value(storage::encode(images), value_bytes)) {
       images.erase(images.begin());
--- /dev/null
+++ b/src/storage/placement_record.hpp
@@ -0,0 +1,43 @@
+/// The record of one shard of a job's tasks, kept under `p/ID/SHARD`: where they are placed, which
+/// are done. A task may be launched only once its placement is recorded, so that a new leader knows
+/// of every task that may be running.
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "protocol/json.hpp"
+
+namespace larkroad::storage {
+
+using protocol::Json;
+
+/// A range of tasks, both ends included.
+struct TaskRange {
+  std::uint32_t first = 0;
+  std::uint32_t last = 0;
+};
+
+struct PlacedTask {
+  std::uint32_t task = 0;
+  std::uint64_t attempt = 0;
+  std::string machine;
+  std::uint64_t incarnation = 0;
+};
+
+struct PlacementRecord {
+  std::uint64_t attempt = 0;  ///< the highest ever used in this shard
+  std::vector<TaskRange> done;
+  std::vector<PlacedTask> placed;
+};
+
+Json encode(const PlacementRecord& record);
+
+/// Throws RecordError.
+PlacementRecord decode_placement_record(const Json& data);
+
+/// How many tasks may share a record, so that its largest form fits a value of `value_kb` KiB.
+std::uint32_t max_tasks_per_shard(double value_kb);
+
+}  // namespace larkroad::storage
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -2,23 +2,80 @@
 
 #include <gtest/gtest.h>
 
+#include <functional>
+
 #include "support.hpp"
 
 namespace larkroad::storage {
 namespace {
 
-TEST(Records, PlacementKeys) {
-  std::string id;
-  std::uint32_t shard = 0;
-  ASSERT_TRUE(parse_placement_key(placement_key("job-12", 340), id, shard));
-  EXPECT_EQ(id, "job-12");
-  EXPECT_EQ(shard, 340u);
-  for (const char* key : {"j/job-1/2", "p/job-1", "p/job-1/", "p/job-1/x", "p//"}) {
-    EXPECT_FALSE(parse_placement_key(key, id, shard)) << key;
+TEST(RecordKeys, PlacementKeyRoundTrip) {
+  const auto parsed = parse_placement_key(placement_key("job-12", 340));
+  ASSERT_TRUE(parsed);
+  EXPECT_EQ(parsed->job, "job-12");
+  EXPECT_EQ(parsed->shard, 340u);
+}
+
+TEST(RecordKeys, OtherKeysAreNoPlacementKeys) {
+  for (const char* key : {"j/job-1/2", "p/job-1", "p/job-1/", "p/job-1/x", "p//", "p/1", "p/",
+                          "leader", "", "p/job-1/12345678", "p/job-1/-1"}) {
+    EXPECT_FALSE(parse_placement_key(key)) << key;
+  }
+}
+
+// The names under which fields are stored are read by the versions before and after this one.
+TEST(Records, StoredFieldNamesStay) {
+  EXPECT_EQ(encode(PlacementRecord{7, {{0, 3}}, {{4, 7, "i-1", 2}}}),
+            Json::parse(R"({"attempt":7,"done":[[0,3]],"placed":[[4,7,"i-1",2]]})"));
+  EXPECT_EQ(encode(PlacementRecord{7, {}, {}}), Json::parse(R"({"attempt":7})"));
+  EXPECT_EQ(encode(FinishedRecord{true, 3}), Json::parse(R"({"cancelled":true,"tasks":3})"));
+  EXPECT_EQ(encode(Images{{"img-1", 2.5}}), Json::parse(R"({"images":[["img-1",2.5]]})"));
+  EXPECT_EQ(encode(RelayAnswerRecord{5, 200, R"({"a":1})"}),
+            Json::parse(R"({"number":5,"status":200,"body":{"a":1}})"));
+  EXPECT_EQ(encode_version(4), Json::parse(R"({"version":4})"));
+  const Json job = encode(JobRecord{testing::spec("job-1", 3), 1.5, 16, true});
+  EXPECT_EQ(job["at"], 1.5);
+  EXPECT_EQ(job["chunk"], 16);
+  EXPECT_EQ(job["cancelled"], true);
+}
+
+TEST(Records, ErrorsNameTheRecordAndTheField) {
+  const auto decode_any_job = [](const Json& data) { decode_job("job-1", data); };
+  Json job = encode(JobRecord{testing::spec("job-1", 3), 1.5, 16, false});
+  job["chunk"] = "many";
+  const struct {
+    std::function<void(const Json&)> decode;
+    Json data;
+    const char* record;
+    const char* field;
+  } cases[] = {
+      {decode_placement_record, Json::parse(R"({})"), "placement", "attempt"},
+      {decode_placement_record, Json::parse(R"({"attempt":-1})"), "placement", "attempt"},
+      {decode_placement_record, Json::parse(R"({"attempt":1,"done":[[2]]})"), "placement", "done"},
+      {decode_placement_record, Json::parse(R"({"attempt":1,"placed":[[2,1,3,1]]})"), "placement",
+       "placed"},
+      {decode_finished, Json::parse(R"({"cancelled":1,"tasks":3})"), "finished job", "cancelled"},
+      {decode_images, Json::parse(R"({"images":{}})"), "machine images", "images"},
+      {decode_images, Json::parse(R"({"images":[["img-1"]]})"), "machine images", "images"},
+      {decode_relay_request, Json::parse(R"({"number":1,"batch":3})"), "relay request", "batch"},
+      {decode_relay_answer, Json::parse(R"({"number":1,"status":200})"), "relay answer", "body"},
+      {decode_version, Json::parse(R"([])"), "version", "version"},
+      {decode_any_job, Json::parse(R"({"at":1.0,"chunk":1})"), "job", "specification"},
+      {decode_any_job, job, "job", "chunk"},
+  };
+  for (const auto& c : cases) {
+    SCOPED_TRACE(c.data.dump());
+    try {
+      c.decode(c.data);
+      ADD_FAILURE() << "accepted";
+    } catch (const RecordError& error) {
+      EXPECT_EQ(error.record(), c.record) << error.what();
+      EXPECT_EQ(error.field(), c.field) << error.what();
+    }
   }
 }
 
-TEST(Records, TheWorstChunkFitsTheValueLimit) {
+TEST(Records, LargestPlacementRecordFitsTheValueLimit) {
   for (const double kb : {1.0, 4.0, 8.0}) {
     PlacementRecord record;
     record.attempt = ~0ull;
@@ -27,30 +84,30 @@
     }
     EXPECT_LE(encode(record).dump().size(), kb * 1024) << kb;
     PlacementRecord done;
-    for (std::uint32_t i = 0; i < max_tasks_per_shard(kb); i += 2) done.done.emplace_back(i, i);
+    for (std::uint32_t i = 0; i < max_tasks_per_shard(kb); i += 2) done.done.push_back({i, i});
     EXPECT_LE(encode(done).dump().size(), kb * 1024) << kb;
   }
 }
 
-// A job's record may grow by the mark of its cancellation alone.
-TEST(Records, ACancelledJobFitsWhatItFittedBefore) {
+// Cancelling a job may enlarge its record by the field that says so, and by nothing else.
+TEST(Records, CancelledJobFitsTheLimitOfItsSubmission) {
   JobRecord record{testing::spec("job-1", 3), 1.5, 16, false};
   record.spec.image = std::string(200, '\x01');  // six bytes each
   const auto size = static_cast<double>(encoded_size(encode(record)));
   EXPECT_FALSE(can_be_cancelled_within(record, size));
   EXPECT_TRUE(can_be_cancelled_within(record, size + 20));
-  EXPECT_EQ(encode_within(record, size - 1), encode(record)) << "only a cancelled one is cut";
+  EXPECT_EQ(encode_within(record, size - 1), encode(record)) << "only a cancelled one is shortened";
   record.cancelled = true;
-  const Json cut = encode_within(record, size);
-  EXPECT_LT(static_cast<double>(encoded_size(cut)), size);
-  const JobRecord back = decode_job("job-1", cut);
+  const Json shortened = encode_within(record, size);
+  EXPECT_LT(static_cast<double>(encoded_size(shortened)), size);
+  const JobRecord back = decode_job("job-1", shortened);
   EXPECT_TRUE(back.cancelled);
   EXPECT_EQ(back.spec.team, record.spec.team);
   EXPECT_EQ(back.spec.tasks, 3u);
   EXPECT_DOUBLE_EQ(back.spec.cpus, record.spec.cpus);
 }
 
-TEST(Records, ChunkGivesTheSameBack) {
+TEST(Records, PlacementRecordRoundTrip) {
   PlacementRecord record{7, {{0, 3}, {5, 5}}, {{4, 7, "i-1", 2}}};
   const PlacementRecord back = decode_placement_record(encode(record));
   EXPECT_EQ(encode(back), encode(record));
@@ -58,14 +115,15 @@
   EXPECT_TRUE(decode_placement_record(encode(PlacementRecord{})).placed.empty());
 }
 
-TEST(Records, ImagesGiveTheSameBack) {
+TEST(Records, ImagesRoundTrip) {
   const Images images{{"img-1", 2.5}, {"img-2", 4}};
   EXPECT_EQ(decode_images(encode(images)), images);
   EXPECT_TRUE(decode_images(encode(Images{})).empty());
 }
 
-// A new leader builds its statistics from shards in whatever order the store lists their keys.
-TEST(Records, ALedgerIsBuiltFromChunksInAnyOrder) {
+// A new leader restores the cluster's state from shards in whatever order the store lists their
+// keys.
+TEST(Records, ClusterStateIsRestoredFromShardsInAnyOrder) {
   const Settings settings = testing::settings();
   for (const bool reversed : {false, true}) {
     coordination::ClusterState cluster(settings);
