--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -22,15 +22,15 @@
   ASSERT_EQ(s.teams.size(), 2u);
   EXPECT_DOUBLE_EQ(s.team("red")->gpus_max, 4);
   EXPECT_DOUBLE_EQ(s.team("blue")->gpus_max, 0);
-  // A guest team: neither a guarantee nor a limit.
+  // A team without a quota: neither a guarantee nor a limit.
   for (const char* given : {"", "cpus = 0.0\ncpus_max = 0.0\ngpus = 0.0\ngpus_max = 0.0\n"}) {
-    const auto guests =
+    const auto with_guests =
         parse_settings(replaced(testing::settings_text(), "[[cluster.objectives]]",
                                 "[[cluster.teams]]\nname = \"guests\"\n" + std::string(given) +
                                     "\n[[cluster.objectives]]"));
-    EXPECT_DOUBLE_EQ(guests.team("guests")->cpus, 0) << given;
-    EXPECT_DOUBLE_EQ(guests.team("guests")->cpus_max, kNoLimit) << given;
-    EXPECT_DOUBLE_EQ(guests.team("guests")->gpus_max, kNoLimit) << given;
+    EXPECT_DOUBLE_EQ(with_guests.team("guests")->cpus, 0) << given;
+    EXPECT_DOUBLE_EQ(with_guests.team("guests")->cpus_max, kNoLimit) << given;
+    EXPECT_DOUBLE_EQ(with_guests.team("guests")->gpus_max, kNoLimit) << given;
   }
   EXPECT_EQ(s.team("green"), nullptr);
   ASSERT_EQ(s.objectives.size(), 1u);
@@ -40,7 +40,7 @@
   EXPECT_EQ(s.sockets, 200);
 }
 
-TEST(Settings, NextLimitsOfTheStateService) {
+TEST(Settings, NextLimitsOfTheStore) {
   const std::string text = testing::settings_text();
   const Settings none = parse_settings(text);
   EXPECT_DOUBLE_EQ(none.next_store_limits.value_kb, 4);
@@ -59,7 +59,7 @@
   }
 }
 
-TEST(Settings, UnknownFieldsPass) {
+TEST(Settings, UnknownFieldsAreIgnored) {
   EXPECT_NO_THROW(parse_settings(testing::settings_text() + "\n[cluster.future]\nx = 1\n"));
   EXPECT_NO_THROW(parse_settings("future = [1, 2]\n" + testing::settings_text()));
 }
@@ -106,7 +106,7 @@
   }
 }
 
-TEST(Settings, TellsWhereItIsNotToml) {
+TEST(Settings, SyntaxErrorsNameTheLine) {
   try {
     parse_settings("member = \n");
     FAIL() << "accepted";
@@ -119,9 +119,9 @@
 TEST(OperatorSettings, DefaultsAndErrors) {
   EXPECT_DOUBLE_EQ(parse_operators("").reservation_limit_s, 20);
   EXPECT_DOUBLE_EQ(parse_operators("").start_bound_s, 240);
-  const auto own = parse_operators("[gangs]\nhold_s = 5\n[starts]\nbound_s = 60.5\n");
-  EXPECT_DOUBLE_EQ(own.reservation_limit_s, 5);
-  EXPECT_DOUBLE_EQ(own.start_bound_s, 60.5);
+  const auto operators = parse_operators("[gangs]\nhold_s = 5\n[starts]\nbound_s = 60.5\n");
+  EXPECT_DOUBLE_EQ(operators.reservation_limit_s, 5);
+  EXPECT_DOUBLE_EQ(operators.start_bound_s, 60.5);
   const struct {
     const char* text;
     const char* named;
@@ -137,7 +137,7 @@
   for (const auto& c : cases) {
     try {
       parse_operators(c.text);
-      ADD_FAILURE() << c.text << " is taken";
+      ADD_FAILURE() << c.text << " is accepted";
     } catch (const SettingsError& error) {
       EXPECT_NE(std::string(error.what()).find(c.named), std::string::npos) << error.what();
     }
