--- a/src/transport/asio_clock.cpp
+++ b/src/transport/asio_clock.cpp
@@ -1,25 +1,37 @@
 #include "transport/asio_clock.hpp"
 
+#include <algorithm>
 #include <chrono>
+#include <utility>
 
 namespace larkroad::transport {
+namespace {
 
-Seconds AsioClock::now() const {
-  return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
+constexpr double kNanosecondsPerSecond = 1e9;
+
+template <typename TimePoint>
+Seconds since_epoch(TimePoint time) {
+  return std::chrono::duration<Seconds>(time.time_since_epoch()).count();
 }
 
-Seconds AsioClock::unix_time() const {
-  return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
+std::chrono::nanoseconds to_nanoseconds(Seconds delay) {
+  return std::chrono::nanoseconds(
+      static_cast<std::int64_t>(std::max(delay, 0.0) * kNanosecondsPerSecond));
 }
 
-TimerId AsioClock::after(Seconds delay, std::function<void()> fn) {
-  const TimerId id = next_++;
-  auto timer = std::make_unique<asio::steady_timer>(
-      io_, std::chrono::nanoseconds(static_cast<int64_t>((delay > 0 ? delay : 0) * 1e9)));
-  timer->async_wait([this, id, fn = std::move(fn)](const asio::error_code& error) {
+}  // namespace
+
+Seconds AsioClock::now() const { return since_epoch(std::chrono::steady_clock::now()); }
+
+Seconds AsioClock::unix_time() const { return since_epoch(std::chrono::system_clock::now()); }
+
+TimerId AsioClock::after(Seconds delay, std::function<void()> callback) {
+  const TimerId id = next_id_++;
+  auto timer = std::make_unique<asio::steady_timer>(io_, to_nanoseconds(delay));
+  timer->async_wait([this, id, callback = std::move(callback)](const asio::error_code& error) {
     if (error) return;  // cancelled, and erased already
     timers_.erase(id);
-    fn();
+    callback();
   });
   timers_.emplace(id, std::move(timer));
   return id;
--- a/src/transport/asio_clock.hpp
+++ b/src/transport/asio_clock.hpp
@@ -1,3 +1,4 @@
+/// The clock of the operating system and timers on an event loop.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -9,17 +10,19 @@
 
 namespace larkroad::transport {
 
+/// Timers that are pending when the clock is destroyed never run. Not thread-safe: to be used on
+/// the thread of the event loop.
 class AsioClock : public Clock {
  public:
   explicit AsioClock(asio::io_context& io) : io_(io) {}
   Seconds now() const override;
   Seconds unix_time() const override;
-  TimerId after(Seconds delay, std::function<void()> fn) override;
+  TimerId after(Seconds delay, std::function<void()> callback) override;
   void cancel(TimerId id) override;
 
  private:
   asio::io_context& io_;
-  TimerId next_ = 1;
+  TimerId next_id_ = 1;
   std::unordered_map<TimerId, std::unique_ptr<asio::steady_timer>> timers_;
 };
 
--- a/src/transport/clock.hpp
+++ b/src/transport/clock.hpp
@@ -1,4 +1,4 @@
-// Time as the rest of the program sees it, so that tests can put a simulated clock in its place.
+/// Time and timers, as an interface so that tests can put a simulated clock in its place.
 #pragma once
 
 #include <cstdint>
@@ -6,18 +6,20 @@
 
 namespace larkroad::transport {
 
-// Durations and steady times are seconds as decimals, like everything on the wire.
+/// Durations and steady times are seconds as decimals, like everything on the wire.
 using Seconds = double;
 using TimerId = std::uint64_t;
 
 class Clock {
  public:
   virtual ~Clock() = default;
-  // Steady: never set back, of no use between machines.
+  /// Steady time: never set back. Not comparable between machines.
   virtual Seconds now() const = 0;
-  // Time of day, within the bound of the settings.
+  /// Time of day since 1970, within the error that the settings state.
   virtual Seconds unix_time() const = 0;
-  virtual TimerId after(Seconds delay, std::function<void()> fn) = 0;
+  /// Runs `callback` on the event loop after `delay`, and never from in here.
+  virtual TimerId after(Seconds delay, std::function<void()> callback) = 0;
+  /// Ends a timer. One that has run already, or is unknown, is ignored.
   virtual void cancel(TimerId id) = 0;
 };
 
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -6,47 +6,72 @@
 #include <array>
 #include <asio/connect.hpp>
 #include <asio/write.hpp>
-
-#include "log.hpp"
+#include <cstdlib>
+#include <optional>
+#include <utility>
 
 namespace larkroad::transport {
 namespace {
 
-// A kept connection that nobody used for this long is closed.
+// A connection that has been idle for this long is closed.
 constexpr Seconds kIdleLimit = 30;
-// The largest answer taken: the state service pages at 512 KiB, watches have no limit of their own.
-constexpr size_t kAnswerLimit = size_t{8} * 1024 * 1024;
+constexpr Seconds kCloseExpiredInterval = kIdleLimit / 3;
+// The largest body of a response: the key-value store's pages are 512 KiB, and its answers to
+// watches have no limit of their own.
+constexpr size_t kMaxResponseBytes = size_t{8} * 1024 * 1024;
+constexpr size_t kReadBufferBytes = 8192;
+constexpr int kMaxPort = 65535;
+// The part of all connections that is closed at once to make room for new ones.
+constexpr size_t kMakeRoomDivisor = 8;
+
+std::optional<asio::ip::tcp::endpoint> parse_endpoint(const std::string& text) {
+  const auto colon = text.rfind(':');
+  if (colon == std::string::npos) return std::nullopt;
+  asio::error_code error;
+  const auto address = asio::ip::make_address_v4(text.substr(0, colon), error);
+  if (error) return std::nullopt;
+  const int port = std::atoi(text.c_str() + colon + 1);
+  if (port <= 0 || port > kMaxPort) return std::nullopt;
+  return asio::ip::tcp::endpoint(address, static_cast<unsigned short>(port));
+}
+
+std::string encode_request(const std::string& endpoint, const Request& request) {
+  std::string out =
+      request.method + " " + request.target + " HTTP/1.1\r\nHost: " + endpoint + "\r\n";
+  if (!request.body.empty() || request.method == "POST") {
+    out +=
+        "Content-Type: application/json\r\nContent-Length: " + std::to_string(request.body.size()) +
+        "\r\n";
+  }
+  out += "\r\n" + request.body;
+  return out;
+}
 
 }  // namespace
 
+/// One connection to an endpoint: connects for its first request, and is idle between requests.
+///
+/// Kept alive by the handlers that wait in the event loop, and while idle by the pool.
 class HttpClient::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(HttpClient& owner, std::string endpoint)
       : owner_(owner.self_), endpoint_(std::move(endpoint)), socket_(owner.io_) {
-    ++owner.open_;
-  }
-  ~Connection() {
-    if (!dead_ && *owner_ != nullptr) --(*owner_)->open_;
+    ++owner.open_connections_;
   }
+  ~Connection() { close(); }
 
-  void start(Request request, Seconds timeout, OnReply on_reply) {
+  Connection(const Connection&) = delete;
+  Connection& operator=(const Connection&) = delete;
+
+  /// Sends a request; must not be called while another one is under way.
+  void call(const Request& request, Seconds timeout, OnReply on_reply) {
     on_reply_ = std::move(on_reply);
-    answer_ = {};
-    out_ = request.method + " " + request.target + " HTTP/1.1\r\nHost: " + endpoint_ + "\r\n";
-    if (!request.body.empty() || request.method == "POST") {
-      out_ += "Content-Type: application/json\r\nContent-Length: " +
-              std::to_string(request.body.size()) + "\r\n";
-    }
-    out_ += "\r\n" + request.body;
+    response_ = {};
+    outgoing_ = encode_request(endpoint_, request);
     http_parser_init(&parser_, HTTP_RESPONSE);
     parser_.data = this;
     complete_ = false;
-    timer_ = (*owner_)->clock_.after(timeout, [self = weak_from_this()] {
-      if (auto me = self.lock()) {
-        me->timer_ = 0;
-        me->finish(false);
-      }
-    });
+    start_timer(timeout);
     if (connected_) {
       send();
     } else {
@@ -54,204 +79,241 @@
     }
   }
 
-  const std::string& endpoint() const { return endpoint_; }
-  Seconds parked_at = 0;
-
   void close() {
-    if (dead_) return;
+    if (closed_) return;
     asio::error_code ignored;
     socket_.close(ignored);
     connected_ = false;
-    dead_ = true;
-    if (*owner_ != nullptr) --(*owner_)->open_;
+    closed_ = true;
+    if (*owner_ != nullptr) --(*owner_)->open_connections_;
   }
-  bool dead() const { return dead_; }
+
+  bool closed() const { return closed_; }
+  const std::string& endpoint() const { return endpoint_; }
+  Seconds idle_since() const { return idle_since_; }
+  void set_idle_since(Seconds now) { idle_since_ = now; }
 
  private:
+  void start_timer(Seconds timeout) {
+    timer_ = (*owner_)->clock_.after(timeout, [weak = weak_from_this()] {
+      if (const auto self = weak.lock()) {
+        self->timer_.reset();
+        self->fail();
+      }
+    });
+  }
+
+  void stop_timer() {
+    if (timer_) (*owner_)->clock_.cancel(*timer_);
+    timer_.reset();
+  }
+
   void connect() {
-    const auto colon = endpoint_.rfind(':');
-    asio::error_code error;
-    const auto address = asio::ip::make_address_v4(endpoint_.substr(0, colon), error);
-    int port = 0;
-    if (!error && colon != std::string::npos) port = std::atoi(endpoint_.c_str() + colon + 1);
-    if (error || port <= 0 || port > 65535) {
+    const auto endpoint = parse_endpoint(endpoint_);
+    if (!endpoint) {
       // Never from inside call(): the caller must not be entered again before it returns.
-      (*owner_)->clock_.after(0, [me = shared_from_this()] { me->finish(false); });
+      (*owner_)->clock_.after(0, [self = shared_from_this()] { self->fail(); });
       return;
     }
-    socket_.async_connect(asio::ip::tcp::endpoint(address, static_cast<unsigned short>(port)),
-                          [me = shared_from_this()](const asio::error_code& failed) {
-                            if (!me->on_reply_) return;  // timed out meanwhile
-                            if (failed) {
-                              me->finish(false);
-                              return;
-                            }
-                            asio::error_code ignored;
-                            me->socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
-                            me->connected_ = true;
-                            me->send();
-                            me->read();
-                          });
+    socket_.async_connect(*endpoint, [self = shared_from_this()](const asio::error_code& error) {
+      if (!self->on_reply_) return;  // timed out meanwhile
+      if (error) {
+        self->fail();
+        return;
+      }
+      asio::error_code ignored;
+      self->socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
+      self->connected_ = true;
+      self->send();
+      self->read();
+    });
   }
 
   void send() {
     sent_ = true;
-    asio::async_write(socket_, asio::buffer(out_),
-                      [me = shared_from_this()](const asio::error_code& error, size_t) {
-                        if (error && me->on_reply_) me->finish(false);
+    asio::async_write(socket_, asio::buffer(outgoing_),
+                      [self = shared_from_this()](const asio::error_code& error, size_t) {
+                        if (error && self->on_reply_) self->fail();
                       });
   }
 
-  // One read is always under way, so that a connection closed by the other side while it is
-  // parked is noticed before it is used again.
+  // One read is always under way, so that a connection that the other side closes while it is idle
+  // is noticed before it is used again.
   void read() {
-    socket_.async_read_some(asio::buffer(buffer_), [me = shared_from_this()](
+    socket_.async_read_some(asio::buffer(buffer_), [self = shared_from_this()](
                                                        const asio::error_code& error, size_t size) {
-      if (error || !me->on_reply_) {
-        if (error == asio::error::eof && me->on_reply_) {
-          http_parser_execute(&me->parser_, &kCallbacks, nullptr, 0);
-        }
-        const bool whole = me->on_reply_ && me->complete_;
-        me->close();
-        if (me->on_reply_) me->finish(whole);
-        return;
+      if (error || !self->on_reply_) {
+        self->handle_end(error);
+      } else {
+        self->handle_data(size);
       }
-      const size_t used = http_parser_execute(&me->parser_, &kCallbacks, me->buffer_.data(), size);
-      if (!me->complete_ && (used != size || HTTP_PARSER_ERRNO(&me->parser_) != HPE_OK)) {
-        me->close();
-        me->finish(false);
-        return;
-      }
-      if (me->complete_) {
-        if (!http_should_keep_alive(&me->parser_)) me->close();
-        me->finish(true);
-        if (me->dead_) return;
-      }
-      me->read();
     });
   }
 
+  // The connection ended, or the server sent something without a request.
+  void handle_end(const asio::error_code& error) {
+    if (error == asio::error::eof && on_reply_) {
+      // The end of the connection may be the end of the response.
+      http_parser_execute(&parser_, &kCallbacks, nullptr, 0);
+    }
+    const bool whole = on_reply_ && complete_;
+    close();
+    if (on_reply_) finish(whole);
+  }
+
+  void handle_data(size_t size) {
+    const size_t parsed = http_parser_execute(&parser_, &kCallbacks, buffer_.data(), size);
+    if (!complete_ && (parsed != size || HTTP_PARSER_ERRNO(&parser_) != HPE_OK)) {
+      close();
+      fail();
+      return;
+    }
+    if (complete_) {
+      if (http_should_keep_alive(&parser_) == 0) close();
+      finish(true);
+      if (closed_) return;
+    }
+    read();
+  }
+
+  void fail() { finish(false); }
+
+  // Ends the request under way: the connection is idle or closed before the caller is told.
   void finish(bool answered) {
     if (*owner_ == nullptr) return;
-    if (timer_ != 0) {
-      (*owner_)->clock_.cancel(timer_);
-      timer_ = 0;
-    }
-    auto on_reply = std::move(on_reply_);
-    on_reply_ = nullptr;
-    const Outcome outcome =
-        answered ? Outcome::answered : (sent_ ? Outcome::unknown : Outcome::not_sent);
+    stop_timer();
+    const OnReply on_reply = std::exchange(on_reply_, nullptr);
+    const Outcome unanswered = sent_ ? Outcome::unknown : Outcome::not_sent;
+    const Outcome outcome = answered ? Outcome::answered : unanswered;
     sent_ = false;
-    Response answer = std::move(answer_);
-    if (answered && !dead_) {
-      (*owner_)->park(shared_from_this());
+    Response response = std::move(response_);
+    if (answered && !closed_) {
+      (*owner_)->add_idle(shared_from_this());
     } else {
       close();
     }
-    if (on_reply) on_reply(outcome, std::move(answer));
+    if (on_reply) on_reply(outcome, std::move(response));
+  }
+
+  static Connection& connection_of(http_parser* parser) {
+    return *static_cast<Connection*>(parser->data);
+  }
+
+  static int handle_body(http_parser* parser, const char* data, size_t length) {
+    std::string& body = connection_of(parser).response_.body;
+    if (body.size() + length > kMaxResponseBytes) return 1;
+    body.append(data, length);
+    return 0;
+  }
+
+  static int handle_complete(http_parser* parser) {
+    Connection& connection = connection_of(parser);
+    connection.response_.status = static_cast<int>(parser->status_code);
+    connection.complete_ = true;
+    return 0;
   }
 
-  static Connection* self(http_parser* parser) { return static_cast<Connection*>(parser->data); }
-
-  static http_parser_settings callbacks() {
-    http_parser_settings s;
-    http_parser_settings_init(&s);
-    s.on_body = [](http_parser* p, const char* at, size_t length) {
-      auto* me = self(p);
-      if (me->answer_.body.size() + length > kAnswerLimit) return 1;
-      me->answer_.body.append(at, length);
-      return 0;
-    };
-    s.on_message_complete = [](http_parser* p) {
-      auto* me = self(p);
-      me->answer_.status = static_cast<int>(p->status_code);
-      me->complete_ = true;
-      return 0;
-    };
-    return s;
+  static http_parser_settings parser_callbacks() {
+    http_parser_settings settings;
+    http_parser_settings_init(&settings);
+    settings.on_body = handle_body;
+    settings.on_message_complete = handle_complete;
+    return settings;
   }
   static const http_parser_settings kCallbacks;
 
-  std::shared_ptr<HttpClient*> owner_;
+  std::shared_ptr<HttpClient*> owner_;  // holds nullptr once the client is destroyed
   std::string endpoint_;
   asio::ip::tcp::socket socket_;
-  std::array<char, 8192> buffer_;
-  std::string out_;
+  std::array<char, kReadBufferBytes> buffer_;
+  std::string outgoing_;
   http_parser parser_{};
-  Response answer_;
-  OnReply on_reply_;
-  TimerId timer_ = 0;
+  Response response_;
+  OnReply on_reply_;  // empty: no request is under way
+  std::optional<TimerId> timer_;
+  Seconds idle_since_ = 0;
   bool connected_ = false;
-  bool sent_ = false;
-  bool complete_ = false;
-  bool dead_ = false;
+  bool sent_ = false;      // the request may have reached the server
+  bool complete_ = false;  // the response is whole
+  bool closed_ = false;
 };
 
-const http_parser_settings HttpClient::Connection::kCallbacks = HttpClient::Connection::callbacks();
+const http_parser_settings HttpClient::Connection::kCallbacks =
+    HttpClient::Connection::parser_callbacks();
 
 HttpClient::HttpClient(asio::io_context& io, Clock& clock, size_t max_sockets)
     : io_(io),
       clock_(clock),
       max_sockets_(max_sockets),
-      self_(std::make_shared<HttpClient*>(this)) {
-  clock_.after(kIdleLimit / 3, [this] { sweep(); });
+      self_(std::make_shared<HttpClient*>(this)),
+      scope_(clock) {
+  schedule_close_expired();
 }
 
 HttpClient::~HttpClient() { *self_ = nullptr; }
 
 void HttpClient::call(const std::string& endpoint, Request request, Seconds timeout,
                       OnReply on_reply) {
-  auto& idle = idle_[endpoint];
-  while (!idle.empty()) {
-    auto connection = std::move(idle.back());
-    idle.pop_back();
-    if (connection->dead()) continue;
-    connection->start(std::move(request), timeout, std::move(on_reply));
+  if (const ConnectionPtr connection = take_idle(endpoint)) {
+    connection->call(request, timeout, std::move(on_reply));
     return;
   }
-  // Kept connections are a help only: they make way before a call goes without a socket, which
-  // matters where more machines are talked to than there are sockets.
-  if (open_ >= max_sockets_) close_idle(max_sockets_ / 8 + 1);
-  if (open_ >= max_sockets_) {
+  // Idle connections make way before a request goes without a socket, which matters where there
+  // are more machines to talk to than sockets.
+  if (open_connections_ >= max_sockets_) close_longest_idle(max_sockets_ / kMakeRoomDivisor + 1);
+  if (open_connections_ >= max_sockets_) {
     clock_.after(0, [on_reply = std::move(on_reply)] { on_reply(Outcome::not_sent, {}); });
     return;
   }
-  std::make_shared<Connection>(*this, endpoint)
-      ->start(std::move(request), timeout, std::move(on_reply));
+  std::make_shared<Connection>(*this, endpoint)->call(request, timeout, std::move(on_reply));
+}
+
+HttpClient::ConnectionPtr HttpClient::take_idle(const std::string& endpoint) {
+  auto& connections = idle_[endpoint];
+  while (!connections.empty()) {
+    ConnectionPtr connection = std::move(connections.back());
+    connections.pop_back();
+    if (!connection->closed()) return connection;
+  }
+  return nullptr;
 }
 
-void HttpClient::park(const std::shared_ptr<Connection>& connection) {
-  connection->parked_at = clock_.now();
+void HttpClient::add_idle(const ConnectionPtr& connection) {
+  connection->set_idle_since(clock_.now());
   idle_[connection->endpoint()].push_back(connection);
 }
 
-// Closes the `count` connections that have been parked for longest.
-void HttpClient::close_idle(size_t count) {
-  std::vector<Connection*> parked;
-  for (const auto& [endpoint, list] : idle_) {
-    for (const auto& connection : list) {
-      if (!connection->dead()) parked.push_back(connection.get());
+void HttpClient::close_longest_idle(size_t count) {
+  std::vector<Connection*> open;
+  for (const auto& [endpoint, connections] : idle_) {
+    for (const ConnectionPtr& connection : connections) {
+      if (!connection->closed()) open.push_back(connection.get());
     }
   }
-  count = std::min(count, parked.size());
-  std::nth_element(
-      parked.begin(), parked.begin() + static_cast<std::ptrdiff_t>(count), parked.end(),
-      [](const Connection* a, const Connection* b) { return a->parked_at < b->parked_at; });
-  for (size_t i = 0; i < count; ++i) parked[i]->close();
+  count = std::min(count, open.size());
+  const auto end = open.begin() + static_cast<std::ptrdiff_t>(count);
+  std::nth_element(open.begin(), end, open.end(), [](const Connection* a, const Connection* b) {
+    return a->idle_since() < b->idle_since();
+  });
+  std::for_each(open.begin(), end, [](Connection* connection) { connection->close(); });
 }
 
-void HttpClient::sweep() {
+void HttpClient::close_expired() {
   const Seconds now = clock_.now();
   for (auto it = idle_.begin(); it != idle_.end();) {
-    auto& list = it->second;
-    std::erase_if(list, [&](const auto& connection) {
-      if (!connection->dead() && now - connection->parked_at < kIdleLimit) return false;
+    auto& connections = it->second;
+    std::erase_if(connections, [&](const ConnectionPtr& connection) {
+      if (!connection->closed() && now - connection->idle_since() < kIdleLimit) return false;
       connection->close();
       return true;
     });
-    it = list.empty() ? idle_.erase(it) : std::next(it);
+    it = connections.empty() ? idle_.erase(it) : std::next(it);
   }
-  clock_.after(kIdleLimit / 3, [this] { sweep(); });
+  schedule_close_expired();
+}
+
+void HttpClient::schedule_close_expired() {
+  scope_.after(kCloseExpiredInterval, [this] { close_expired(); });
 }
 
 }  // namespace larkroad::transport
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -5,6 +5,8 @@
 #include <array>
 #include <asio/write.hpp>
 #include <optional>
+#include <string>
+#include <utility>
 
 #include "log.hpp"
 
@@ -13,13 +15,15 @@
 
 // A connection without a request under way is closed after this; users poll every 5 s or so.
 constexpr Seconds kIdleLimit = 60;
-// A request that has begun must be whole within this.
-constexpr Seconds kRequestLimit = 10;
-// From this part of its connections on a server is crowded. Those who can do without a kept
-// connection then take turns, so that health checks and users always find a free one.
-constexpr double kCrowded = 0.75;
+// A request that has begun must be whole, and a response must be sent, within this.
+constexpr Seconds kMessageLimit = 10;
+constexpr Seconds kAcceptRetryDelay = 0.05;
+constexpr size_t kReadBufferBytes = 4096;
+// From this part of its connections on a server is short of them. Clients that can do without a
+// lasting connection then take turns, so that health checks and users always find a free one.
+constexpr double kShortOfConnections = 0.75;
 
-const char* reason(int status) {
+const char* reason_phrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -48,24 +52,42 @@
   }
 }
 
+std::string encode_response(const Response& response, bool keep_alive) {
+  std::string out = "HTTP/1.1 " + std::to_string(response.status) + " " +
+                    reason_phrase(response.status) +
+                    "\r\nContent-Type: application/json\r\nContent-Length: " +
+                    std::to_string(response.body.size()) + "\r\n";
+  if (response.retry_after_s > 0) {
+    out += "Retry-After: " + std::to_string(response.retry_after_s) + "\r\n";
+  }
+  if (!keep_alive) out += "Connection: close\r\n";
+  out += "\r\n";
+  out += response.body;
+  return out;
+}
+
 }  // namespace
 
+/// One accepted connection: reads a request, waits for its answer, writes it, and begins anew.
+///
+/// Kept alive by the handlers that wait in the event loop and by requests that wait for an answer.
 class HttpServer::Session : public std::enable_shared_from_this<Session> {
  public:
   Session(std::shared_ptr<HttpServer*> owner, asio::ip::tcp::socket socket)
       : owner_(std::move(owner)), socket_(std::move(socket)) {
-    ++(*owner_)->open_;
+    ++(*owner_)->open_connections_;
     http_parser_init(&parser_, HTTP_REQUEST);
     parser_.data = this;
   }
   ~Session() {
-    HttpServer* owner = *owner_;
-    if (owner == nullptr) return;
-    disarm();
-    --owner->open_;
-    if (owner->waiting_) owner->accept();
+    if (*owner_ == nullptr) return;
+    stop_timer();
+    (*owner_)->session_ended();
   }
 
+  Session(const Session&) = delete;
+  Session& operator=(const Session&) = delete;
+
   void start() {
     asio::error_code ignored;
     socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
@@ -74,24 +96,24 @@
 
  private:
   void read() {
-    arm(begun_ ? kRequestLimit : kIdleLimit);
-    socket_.async_read_some(asio::buffer(buffer_),
-                            [me = shared_from_this()](const asio::error_code& error, size_t size) {
-                              if (error) return;
-                              me->disarm();
-                              me->begin_ = 0;
-                              me->end_ = size;
-                              me->parse();
-                            });
+    start_timer(request_begun_ ? kMessageLimit : kIdleLimit);
+    socket_.async_read_some(asio::buffer(buffer_), [self = shared_from_this()](
+                                                       const asio::error_code& error, size_t size) {
+      if (error) return;
+      self->stop_timer();
+      self->parsed_ = 0;
+      self->received_ = size;
+      self->parse();
+    });
   }
 
+  // Goes on with what has been received and not yet been parsed.
   void parse() {
-    while (begin_ < end_) {
-      const size_t used =
-          http_parser_execute(&parser_, &kCallbacks, buffer_.data() + begin_, end_ - begin_);
-      begin_ += used;
-      if (complete_) {
-        handle();
+    while (parsed_ < received_) {
+      parsed_ +=
+          http_parser_execute(&parser_, &kCallbacks, buffer_.data() + parsed_, received_ - parsed_);
+      if (request_complete_) {
+        handle_request();
         return;
       }
       if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK || parser_.upgrade) {
@@ -102,158 +124,182 @@
     read();
   }
 
-  void handle() {
-    complete_ = false;
-    begun_ = false;
-    keep_ = http_should_keep_alive(&parser_) != 0;
+  void handle_request() {
+    request_complete_ = false;
+    request_begun_ = false;
+    keep_alive_ = http_should_keep_alive(&parser_) != 0;
     request_.method = http_method_str(static_cast<http_method>(parser_.method));
     http_parser_pause(&parser_, 0);
-    // The answer may come at once or later; it must come no more than once.
-    auto once = std::make_shared<bool>(false);
-    HttpServer* owner = *owner_;
-    if (owner == nullptr) return;
-    owner->handler_(std::move(request_), [me = shared_from_this(), once](Response response) {
-      if (*once) return;
-      *once = true;
-      me->write(std::move(response));
-    });
-    request_ = {};
+    const HttpServer* server = *owner_;
+    if (server == nullptr) return;
+    server->handler_(std::exchange(request_, {}), respond_once());
+  }
+
+  // The answer may come at once or later; it must be sent no more than once.
+  Respond respond_once() {
+    auto responded = std::make_shared<bool>(false);
+    return [self = shared_from_this(), responded](const Response& response) {
+      if (std::exchange(*responded, true)) return;
+      self->write(response);
+    };
   }
 
   void refuse(int status) {
-    keep_ = false;
+    keep_alive_ = false;
     write({status, R"({"error":"malformed request"})", 0});
   }
 
-  void write(Response response) {
-    if (response.brief && *owner_ != nullptr && (*owner_)->crowded()) keep_ = false;
-    out_ = "HTTP/1.1 " + std::to_string(response.status) + " " + reason(response.status) +
-           "\r\nContent-Type: application/json\r\nContent-Length: " +
-           std::to_string(response.body.size()) + "\r\n";
-    if (response.retry_after_s > 0) {
-      out_ += "Retry-After: " + std::to_string(response.retry_after_s) + "\r\n";
+  void write(const Response& response) {
+    if (response.brief && *owner_ != nullptr && (*owner_)->short_of_connections()) {
+      keep_alive_ = false;
     }
-    if (!keep_) out_ += "Connection: close\r\n";
-    out_ += "\r\n";
-    out_ += response.body;
-    arm(kRequestLimit);
-    asio::async_write(socket_, asio::buffer(out_),
-                      [me = shared_from_this()](const asio::error_code& error, size_t) {
-                        me->disarm();
-                        if (error) return;
-                        if (!me->keep_) {
-                          asio::error_code ignored;
-                          me->socket_.shutdown(asio::ip::tcp::socket::shutdown_both, ignored);
-                          return;
-                        }
-                        me->parse();
+    outgoing_ = encode_response(response, keep_alive_);
+    start_timer(kMessageLimit);
+    asio::async_write(socket_, asio::buffer(outgoing_),
+                      [self = shared_from_this()](const asio::error_code& error, size_t) {
+                        self->stop_timer();
+                        if (!error) self->handle_written();
                       });
   }
 
-  void arm(Seconds limit) {
-    disarm();
+  void handle_written() {
+    if (keep_alive_) {
+      parse();
+      return;
+    }
+    asio::error_code ignored;
+    socket_.shutdown(asio::ip::tcp::socket::shutdown_both, ignored);
+  }
+
+  // Closes the connection unless it is stopped within `limit`.
+  void start_timer(Seconds limit) {
+    stop_timer();
     if (*owner_ == nullptr) return;
     timer_ = (*owner_)->clock_.after(limit, [weak = weak_from_this()] {
-      if (auto me = weak.lock()) {
-        me->timer_ = 0;
+      if (const auto self = weak.lock()) {
+        self->timer_.reset();
         asio::error_code ignored;
-        me->socket_.close(ignored);
+        self->socket_.close(ignored);
       }
     });
   }
-  void disarm() {
-    if (timer_ != 0 && *owner_ != nullptr) (*owner_)->clock_.cancel(timer_);
-    timer_ = 0;
+
+  void stop_timer() {
+    if (timer_ && *owner_ != nullptr) (*owner_)->clock_.cancel(*timer_);
+    timer_.reset();
   }
 
-  static Session* self(http_parser* parser) { return static_cast<Session*>(parser->data); }
+  static Session& session_of(http_parser* parser) { return *static_cast<Session*>(parser->data); }
 
-  static http_parser_settings callbacks() {
-    http_parser_settings s;
-    http_parser_settings_init(&s);
-    s.on_message_begin = [](http_parser* p) {
-      self(p)->request_ = {};
-      self(p)->begun_ = true;
-      self(p)->too_large_ = false;
-      return 0;
-    };
-    s.on_url = [](http_parser* p, const char* at, size_t length) {
-      self(p)->request_.target.append(at, length);
-      return 0;
-    };
-    s.on_body = [](http_parser* p, const char* at, size_t length) {
-      auto* me = self(p);
-      if (me->request_.body.size() + length > kBodyLimit) {
-        me->too_large_ = true;
-        return 1;
-      }
-      me->request_.body.append(at, length);
-      return 0;
-    };
-    s.on_message_complete = [](http_parser* p) {
-      self(p)->complete_ = true;
-      // Stop here, so that what follows on the connection waits for this answer.
-      http_parser_pause(p, 1);
-      return 0;
-    };
-    return s;
+  static int handle_begin(http_parser* parser) {
+    Session& session = session_of(parser);
+    session.request_ = {};
+    session.request_begun_ = true;
+    session.too_large_ = false;
+    return 0;
+  }
+
+  static int handle_url(http_parser* parser, const char* data, size_t length) {
+    session_of(parser).request_.target.append(data, length);
+    return 0;
+  }
+
+  static int handle_body(http_parser* parser, const char* data, size_t length) {
+    Session& session = session_of(parser);
+    if (session.request_.body.size() + length > kBodyLimit) {
+      session.too_large_ = true;
+      return 1;
+    }
+    session.request_.body.append(data, length);
+    return 0;
+  }
+
+  static int handle_complete(http_parser* parser) {
+    session_of(parser).request_complete_ = true;
+    // Stop here, so that what follows on the connection waits for this answer.
+    http_parser_pause(parser, 1);
+    return 0;
+  }
+
+  static http_parser_settings parser_callbacks() {
+    http_parser_settings settings;
+    http_parser_settings_init(&settings);
+    settings.on_message_begin = handle_begin;
+    settings.on_url = handle_url;
+    settings.on_body = handle_body;
+    settings.on_message_complete = handle_complete;
+    return settings;
   }
   static const http_parser_settings kCallbacks;
 
-  std::shared_ptr<HttpServer*> owner_;
+  std::shared_ptr<HttpServer*> owner_;  // holds nullptr once the server is destroyed
   asio::ip::tcp::socket socket_;
-  std::array<char, 4096> buffer_;
-  size_t begin_ = 0;
-  size_t end_ = 0;
+  std::array<char, kReadBufferBytes> buffer_;
+  size_t parsed_ = 0;    // bytes of the buffer that have been parsed
+  size_t received_ = 0;  // bytes in the buffer
   http_parser parser_{};
   Request request_;
-  std::string out_;
-  TimerId timer_ = 0;
-  bool begun_ = false;
-  bool complete_ = false;
+  std::string outgoing_;
+  std::optional<TimerId> timer_;
+  bool request_begun_ = false;
+  bool request_complete_ = false;
   bool too_large_ = false;
-  bool keep_ = true;
+  bool keep_alive_ = true;
 };
 
-const http_parser_settings HttpServer::Session::kCallbacks = HttpServer::Session::callbacks();
+const http_parser_settings HttpServer::Session::kCallbacks =
+    HttpServer::Session::parser_callbacks();
 
-HttpServer::HttpServer(asio::io_context& io, Clock& clock, const Address& listen,
+HttpServer::HttpServer(asio::io_context& io, Clock& clock, const Address& listen_address,
                        size_t max_connections, Handler handler)
-    : io_(io),
-      clock_(clock),
+    : clock_(clock),
       acceptor_(io),
       max_connections_(max_connections),
       handler_(std::move(handler)),
-      self_(std::make_shared<HttpServer*>(this)) {
-  const asio::ip::tcp::endpoint endpoint(asio::ip::make_address_v4(listen.host), listen.port);
+      self_(std::make_shared<HttpServer*>(this)),
+      scope_(clock) {
+  listen(listen_address);
+  accept();
+}
+
+HttpServer::~HttpServer() { *self_ = nullptr; }
+
+void HttpServer::listen(const Address& address) {
+  const asio::ip::tcp::endpoint endpoint(asio::ip::make_address_v4(address.host), address.port);
   acceptor_.open(endpoint.protocol());
   acceptor_.set_option(asio::ip::tcp::acceptor::reuse_address(true));
   acceptor_.bind(endpoint);
   acceptor_.listen();
-  accept();
 }
 
-HttpServer::~HttpServer() { *self_ = nullptr; }
-
-bool HttpServer::crowded() const {
-  return static_cast<double>(open_) > kCrowded * static_cast<double>(max_connections_);
+bool HttpServer::short_of_connections() const {
+  return static_cast<double>(open_connections_) >
+         kShortOfConnections * static_cast<double>(max_connections_);
 }
 
 void HttpServer::accept() {
-  waiting_ = open_ >= max_connections_;
-  if (waiting_) return;  // goes on when a session ends
+  accept_suspended_ = open_connections_ >= max_connections_;
+  if (accept_suspended_) return;
   acceptor_.async_accept(
-      [this, self = self_](const asio::error_code& error, asio::ip::tcp::socket socket) {
-        if (*self == nullptr) return;
-        if (error) {
-          // Out of sockets, most likely: try again shortly rather than spin.
-          spdlog::debug("accept: {}", error.message());
-          clock_.after(0.05, [this] { accept(); });
-          return;
-        }
-        std::make_shared<Session>(self_, std::move(socket))->start();
-        accept();
-      });
+      scope_.wrap([this](const asio::error_code& error, asio::ip::tcp::socket socket) {
+        handle_accepted(error, std::move(socket));
+      }));
+}
+
+void HttpServer::handle_accepted(const asio::error_code& error, asio::ip::tcp::socket socket) {
+  if (error) {
+    // Out of sockets, most likely: try again shortly rather than spin.
+    spdlog::debug("accept failed: error={}", error.message());
+    scope_.after(kAcceptRetryDelay, [this] { accept(); });
+    return;
+  }
+  std::make_shared<Session>(self_, std::move(socket))->start();
+  accept();
+}
+
+void HttpServer::session_ended() {
+  --open_connections_;
+  if (accept_suspended_) accept();
 }
 
 }  // namespace larkroad::transport
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -1,4 +1,4 @@
-// The real server and client over loopback.
+/// The real server and client over loopback.
 #include <gtest/gtest.h>
 
 #include <asio/connect.hpp>
@@ -14,9 +14,9 @@
 namespace larkroad::transport {
 namespace {
 
-class Http : public ::testing::Test {
+class HttpTest : public ::testing::Test {
  protected:
-  Http() : clock(io), client(io, clock, 8) {
+  HttpTest() : clock(io), client(io, clock, 8) {
     // A free port: taken by binding to 0 first.
     asio::ip::tcp::acceptor probe(io, {asio::ip::make_address_v4("127.0.0.1"), 0});
     address = {"127.0.0.1", probe.local_endpoint().port()};
@@ -24,7 +24,7 @@
     server.emplace(io, clock, address, 16, [this](Request request, Respond respond) {
       requests.push_back(request);
       if (request.target == "/never") {
-        kept.push_back(std::move(respond));
+        unanswered.push_back(std::move(respond));
         return;
       }
       respond({request.target == "/teapot" ? 418 : 200, request.body + "!", 0});
@@ -41,18 +41,18 @@
     return *got;
   }
 
-  // Sends raw bytes and returns what came back until the server closed or was silent.
+  // Sends raw bytes and returns what came back until the server closed the connection.
   std::string raw(const std::string& bytes) {
     asio::ip::tcp::socket socket(io);
     socket.connect({asio::ip::make_address_v4(address.host), address.port});
     std::string out;
-    bool over = false;
+    bool closed = false;
     std::array<char, 1024> buffer;
     std::function<void()> read = [&] {
       socket.async_read_some(asio::buffer(buffer), [&](asio::error_code error, size_t size) {
         out.append(buffer.data(), size);
         if (error) {
-          over = true;
+          closed = true;
         } else {
           read();
         }
@@ -60,7 +60,7 @@
     };
     asio::async_write(socket, asio::buffer(bytes), [](asio::error_code, size_t) {});
     read();
-    while (!over) io.run_one();
+    while (!closed) io.run_one();
     return out;
   }
 
@@ -70,10 +70,10 @@
   Address address;
   std::optional<HttpServer> server;
   std::vector<Request> requests;
-  std::vector<Respond> kept;
+  std::vector<Respond> unanswered;
 };
 
-TEST_F(Http, AnswersOverOneKeptConnection) {
+TEST_F(HttpTest, AnswersOverOnePersistentConnection) {
   for (int i = 0; i < 3; ++i) {
     const auto [outcome, response] = call({"POST", "/echo?x=1", "body"});
     EXPECT_EQ(outcome, Outcome::answered);
@@ -85,21 +85,22 @@
   EXPECT_EQ(call({"GET", "/teapot", ""}).second.status, 418);
 }
 
-TEST_F(Http, ALargeBodyArrivesWhole) {
+TEST_F(HttpTest, LargeBodyArrivesWhole) {
   const std::string body(kBodyLimit, 'x');
   EXPECT_EQ(call({"POST", "/echo", body}).second.body.size(), kBodyLimit + 1);
 }
 
-TEST_F(Http, NoAnswerIsInDoubtAndNoConnectionIsNot) {
+TEST_F(HttpTest, LostAnswerIsUnknownAndRefusedConnectionIsNotSent) {
   EXPECT_EQ(call({"GET", "/never", ""}, 0.05).first, Outcome::unknown);
   EXPECT_EQ(call({"GET", "/echo", ""}).first, Outcome::answered);
   std::optional<Outcome> got;
-  client.call("127.0.0.1:1", {"GET", "/", ""}, 5, [&](Outcome o, Response) { got = o; });
+  client.call("127.0.0.1:1", {"GET", "/", ""}, 5,
+              [&](Outcome outcome, Response) { got = outcome; });
   while (!got) io.run_one();
   EXPECT_EQ(*got, Outcome::not_sent);
 }
 
-TEST_F(Http, TooManyCallsAtOnceAreNotSent) {
+TEST_F(HttpTest, TooManyRequestsAtOnceAreNotSent) {
   std::vector<Outcome> got;
   for (int i = 0; i < 10; ++i) {
     client.call(address.text(), {"GET", "/never", ""}, 0.2,
@@ -110,7 +111,7 @@
   EXPECT_EQ(std::count(got.begin(), got.end(), Outcome::unknown), 8);
 }
 
-TEST_F(Http, RefusesWhatIsMalformedAndGoesOn) {
+TEST_F(HttpTest, RefusesMalformedRequestsAndServesOthers) {
   EXPECT_TRUE(raw("NONSENSE\r\n\r\n").starts_with("HTTP/1.1 400 "));
   EXPECT_TRUE(raw("POST /echo HTTP/1.1\r\nContent-Length: x\r\n\r\n").starts_with("HTTP/1.1 400 "));
   const std::string large =
@@ -119,7 +120,7 @@
   EXPECT_EQ(call({"GET", "/echo", ""}).second.status, 200);
 }
 
-TEST_F(Http, HonoursConnectionClose) {
+TEST_F(HttpTest, HonoursConnectionClose) {
   const std::string answer = raw("GET /echo HTTP/1.1\r\nConnection: close\r\n\r\n");
   EXPECT_TRUE(answer.starts_with("HTTP/1.1 200 "));
   EXPECT_NE(answer.find("Connection: close"), std::string::npos);
