--- a/src/storage/finished_record.hpp
+++ b/src/storage/finished_record.hpp
@@ -1,4 +1,4 @@
-/// The record of a job that is over, kept under `d/ID` for good: users may ask about a job, and
+/// The record of a job that is over, stored under `d/ID` for good: users may ask about a job, and
 /// submit it again, at any later time.
 #pragma once
 
--- a/src/storage/image_record.hpp
+++ b/src/storage/image_record.hpp
@@ -1,4 +1,4 @@
-/// The record of the images on a machine, kept under `m/MACHINE`. It only saves fetches after a
+/// The record of the images on a machine, stored under `m/MACHINE`. It only saves fetches after a
 /// failover: a record that is lost or out of date breaks nothing.
 #pragma once
 
--- a/src/storage/job_record.hpp
+++ b/src/storage/job_record.hpp
@@ -1,4 +1,4 @@
-/// The record of a job that is not over, kept under `j/ID` from its acceptance to its end.
+/// The record of a job that is not over, stored under `j/ID` from its acceptance to its end.
 #pragma once
 
 #include <cstdint>
--- a/src/storage/placement_record.hpp
+++ b/src/storage/placement_record.hpp
@@ -1,6 +1,6 @@
-/// The record of one shard of a job's tasks, kept under `p/ID/SHARD`: where they are placed, which
-/// are done. A task may be launched only once its placement is recorded, so that a new leader knows
-/// of every task that may be running.
+/// The record of one shard of a job's tasks, stored under `p/ID/SHARD`: where they are placed,
+/// which are done. A task may be launched only once its placement is recorded, so that a new leader
+/// knows of every task that may be running.
 #pragma once
 
 #include <cstdint>
--- /dev/null
+++ b/src/storage/store_availability.cpp
@@ -0,0 +1,37 @@
+#include "storage/store_availability.hpp"
+
+#include <algorithm>
+
+namespace larkroad::storage {
+namespace {
+
+// Told apart from 0, which means that the latest request was answered.
+constexpr Seconds kShortestFailure = 1e-9;
+// Time between probes, as a part of a request's timeout.
+constexpr double kProbeIntervalRatio = 0.25;
+
+}  // namespace
+
+void StoreAvailability::record_success() {
+  failing_since_.reset();
+  answered_ever_ = true;
+}
+
+void StoreAvailability::record_failure() {
+  if (!failing_since_) failing_since_ = clock_.now();
+}
+
+Seconds StoreAvailability::failing_for() const {
+  if (!failing_since_) return 0;
+  return std::max(kShortestFailure, clock_.now() - *failing_since_);
+}
+
+bool StoreAvailability::worth_trying() {
+  if (failing_for() < timeout_) return true;
+  const Seconds now = clock_.now();
+  if (probed_at_ && now - *probed_at_ < timeout_ * kProbeIntervalRatio) return false;
+  probed_at_ = now;
+  return true;
+}
+
+}  // namespace larkroad::storage
--- a/src/storage/version_record.hpp
+++ b/src/storage/version_record.hpp
@@ -1,4 +1,4 @@
-/// The version of records and messages that a controller understands, kept under `v/MEMBER`. What
+/// The version of records and messages that a controller understands, stored under `v/MEMBER`. What
 /// only a newer version understands is used once every controller has recorded such a version.
 #pragma once
 
--- a/tests/key_value_client_test.cpp
+++ b/tests/key_value_client_test.cpp
@@ -1,66 +1,22 @@
-// The state client against a scripted service.
+/// The key-value store's client against a scripted store.
 #include "storage/key_value_client.hpp"
 
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <deque>
-#include <map>
 
-#include "storage/job_cache.hpp"
-#include "support.hpp"
+#include "scripted_store.hpp"
 
 namespace larkroad::storage {
 namespace {
 
+using testing::ScriptedAnswer;
+using testing::ScriptedClient;
 using transport::Outcome;
-using transport::Request;
-using transport::Response;
 
-class ManualClock : public transport::Clock {
- public:
-  Seconds now() const override { return now_; }
-  Seconds unix_time() const override { return 1e9 + now_; }
-  transport::TimerId after(Seconds delay, std::function<void()> fn) override {
-    timers_.emplace(now_ + std::max(0.0, delay), std::move(fn));
-    return 0;
-  }
-  void cancel(transport::TimerId) override {}
-  void run(Seconds until) {
-    while (!timers_.empty() && timers_.begin()->first <= until) {
-      auto fn = std::move(timers_.begin()->second);
-      now_ = std::max(now_, timers_.begin()->first);
-      timers_.erase(timers_.begin());
-      fn();
-    }
-    now_ = until;
-  }
-
- private:
-  Seconds now_ = 1;
-  std::multimap<Seconds, std::function<void()>> timers_;
-};
-
-class ScriptedClient : public transport::Client {
- public:
-  void call(const std::string&, Request request, Seconds, transport::OnReply reply) override {
-    sent.push_back(request);
-    if (script.empty()) {
-      reply(Outcome::answered, {200, R"({"ledger":1})", 0});
-      return;
-    }
-    auto [outcome, response] = script.front();
-    script.pop_front();
-    reply(outcome, response);
-  }
-  std::vector<Request> sent;
-  std::deque<std::pair<Outcome, Response>> script;
-};
-
-class State : public ::testing::Test {
+class KeyValueClientTest : public testing::ScriptedStoreTest {
  protected:
-  State() : settings(testing::settings()), client(clock, net, settings) {}
-
   CommitReply commit_until_certain() {
     Transaction txn;
     txn.preconditions.push_back({"a", 0});
@@ -72,40 +28,35 @@
     clock.run(clock.now() + 30);
     return got.value();
   }
-
-  Settings settings;
-  ManualClock clock;
-  ScriptedClient net;
-  KeyValueClient client;
 };
 
-const std::pair<Outcome, Response> kLost{Outcome::unknown, {}};
-const std::pair<Outcome, Response> kRefused{Outcome::answered, {503, "{}", 0}};
-const std::pair<Outcome, Response> kApplied{Outcome::answered, {200, R"({"ledger":9})", 0}};
-const std::pair<Outcome, Response> kConflict{Outcome::answered,
-                                             {409, R"({"failed":["a"],"ledger":9})", 0}};
-const std::pair<Outcome, Response> kMine{Outcome::answered,
-                                         {200, R"({"k":"a","data":{"x":1},"mark":7})", 0}};
-const std::pair<Outcome, Response> kOther{Outcome::answered,
-                                          {200, R"({"k":"a","data":{"x":2},"mark":7})", 0}};
+const ScriptedAnswer kUnavailable{Outcome::answered, {503, "{}", 0}};
+const ScriptedAnswer kApplied{Outcome::answered, {200, R"({"ledger":9})", 0}};
+const ScriptedAnswer kConflict{Outcome::answered, {409, R"({"failed":["a"],"ledger":9})", 0}};
+const ScriptedAnswer kOwnData{Outcome::answered, {200, R"({"k":"a","data":{"x":1},"mark":7})", 0}};
+const ScriptedAnswer kOtherData{Outcome::answered,
+                                {200, R"({"k":"a","data":{"x":2},"mark":7})", 0}};
 
-TEST_F(State, SettleTellsWhatBecameOfATransaction) {
+TEST_F(KeyValueClientTest, CommitUntilCertainReportsTheOutcome) {
   const struct {
     const char* what;
-    std::deque<std::pair<Outcome, Response>> script;
+    std::deque<ScriptedAnswer> script;
     Status status;
     std::uint64_t revision;
   } cases[] = {
       {"applied", {kApplied}, Status::ok, 9},
-      {"refused, then applied", {kRefused, kRefused, kApplied}, Status::ok, 9},
-      {"a guard failed", {kConflict}, Status::conflict, 0},
-      {"lost, then applied", {kLost, kApplied}, Status::ok, 9},
-      {"lost, though applied", {kLost, kConflict, kMine}, Status::ok, 7},
+      {"refused, then applied", {kUnavailable, kUnavailable, kApplied}, Status::ok, 9},
+      {"a precondition failed", {kConflict}, Status::conflict, 0},
+      {"lost, then applied", {testing::kLostAnswer, kApplied}, Status::ok, 9},
+      {"lost, though applied", {testing::kLostAnswer, kConflict, kOwnData}, Status::ok, 7},
       {"lost, though applied, read back late",
-       {kLost, kConflict, kLost, kConflict, kMine},
+       {testing::kLostAnswer, kConflict, testing::kLostAnswer, kConflict, kOwnData},
        Status::ok,
        7},
-      {"lost, and another was there", {kLost, kConflict, kOther}, Status::conflict, 0},
+      {"lost, and another was there",
+       {testing::kLostAnswer, kConflict, kOtherData},
+       Status::conflict,
+       0},
   };
   for (const auto& c : cases) {
     net.script = c.script;
@@ -118,14 +69,14 @@
   }
 }
 
-TEST_F(State, SettleGivesUpWhenNoLongerWanted) {
-  for (int i = 0; i < 1000; ++i) net.script.push_back(kLost);
+TEST_F(KeyValueClientTest, CommitUntilCertainGivesUpWhenNoLongerWanted) {
+  for (int i = 0; i < 1000; ++i) net.script.push_back(testing::kLostAnswer);
   EXPECT_EQ(commit_until_certain().status, Status::unknown);
 }
 
-// The moment at which the limits fall is not told; a refusal tells it. As other things bring
+// The moment at which the limits fall is not announced; a refusal shows it. As other things bring
 // refusals too, the present limits are tried again, after longer each time.
-TEST_F(State, GoesByTheNextLimitsOnceItIsRefused) {
+TEST_F(KeyValueClientTest, RefusalLowersTheLimitsForAWhile) {
   settings.next_store_limits.write_rps = settings.store_limits.write_rps / 5;
   ScriptedClient own_net;
   KeyValueClient own(clock, own_net, settings);
@@ -159,7 +110,7 @@
   EXPECT_LE(static_cast<double>(writes_in(5)), 5 * next * 1.1) << "for longer than before";
 }
 
-TEST_F(State, KeepsItsShareOfTheLimits) {
+TEST_F(KeyValueClientTest, KeepsToItsShareOfTheLimits) {
   client.set_share(0.5, 0.5);
   int answered = 0;
   int refused = 0;
@@ -177,7 +128,7 @@
 
 // Beside a backlog of small transactions a large one lost its place in the queue again and again:
 // in an incident the records of a large job were held up for five minutes.
-TEST_F(State, ABacklogDoesNotStarveLargeTransactions) {
+TEST_F(KeyValueClientTest, BacklogDoesNotStarveLargeTransactions) {
   client.set_share(0.2, 0.1);  // some 5 changes and 19 requests a second
   std::function<void()> small = [&] {
     Transaction txn;
@@ -201,8 +152,9 @@
   EXPECT_LT(*done, 30);
 }
 
-// Records of low work, of which a large array makes more than can be written, delay nobody else's.
-TEST_F(State, OtherRecordsGoBeforeThoseOfLowWork) {
+// Records of low-priority work, of which a large array makes more than can be written, delay no
+// other requests.
+TEST_F(KeyValueClientTest, BulkRequestsGoLast) {
   client.set_share(0.5, 0.1);
   std::vector<std::string> order;
   const auto commit = [&](const std::string& what, RequestPriority priority) {
@@ -212,18 +164,18 @@
         txn, [&order, what](const CommitReply&) { order.push_back(what); }, priority);
   };
   clock.run(10);
-  for (int i = 0; i < 20; ++i) commit("low", RequestPriority::bulk);
+  for (int i = 0; i < 20; ++i) commit("bulk", RequestPriority::bulk);
   const size_t before = order.size();
   ASSERT_LT(before, 20u);
-  commit("work", RequestPriority::scheduling);
+  commit("scheduling", RequestPriority::scheduling);
   commit("user", RequestPriority::user);
   clock.run(30);
   ASSERT_EQ(order.size(), 22u);
   EXPECT_EQ(order[before], "user");
-  EXPECT_EQ(order[before + 1], "work");
+  EXPECT_EQ(order[before + 1], "scheduling");
 }
 
-TEST_F(State, RenewalsDoNotWaitForTheirTurn) {
+TEST_F(KeyValueClientTest, LeaseRenewalsDoNotWait) {
   for (int i = 0; i < 200; ++i) client.get("a", [](Status, Entry) {});
   const size_t before = net.sent.size();
   client.extend(7, [](Status) {});
@@ -231,12 +183,12 @@
   EXPECT_EQ(net.sent.back().target, "/grants/7/extend");
 }
 
-TEST_F(State, KnowsHowLongItHasFailed) {
+TEST_F(KeyValueClientTest, ReportsHowLongRequestsHaveFailed) {
   EXPECT_FALSE(client.answered_ever());
   client.get("a", [](Status, Entry) {});
   EXPECT_TRUE(client.answered_ever());
   EXPECT_EQ(client.failing_for(), 0);
-  net.script = {kRefused, kLost};
+  net.script = {kUnavailable, testing::kLostAnswer};
   client.get("a", [](Status, Entry) {});
   clock.run(clock.now() + 3);
   client.get("a", [](Status, Entry) {});
@@ -247,19 +199,19 @@
   EXPECT_EQ(client.failing_for(), 0);
 }
 
-// Guards fail while the outcome is not known. Whether it was this transaction that changed them is
-// told from the key of its first write: unchanged, it still may hold the very same words.
-TEST_F(State, AFailedGuardElsewhereIsNoSuccess) {
+// Preconditions fail while the outcome is not known. Whether it was this transaction that changed
+// the keys is seen from the key of its first write: unchanged, it may still hold the same data.
+TEST_F(KeyValueClientTest, FailedPreconditionOnAnotherKeyIsNoSuccess) {
   const struct {
     const char* what;
     const char* failed;
     Status status;
   } cases[] = {
-      {"its own key has changed, to its own words", R"({"failed":["a"]})", Status::ok},
+      {"its own key has changed, to its own data", R"({"failed":["a"]})", Status::ok},
       {"another one has", R"({"failed":["leader"]})", Status::conflict},
   };
   for (const auto& c : cases) {
-    net.script = {kLost,
+    net.script = {testing::kLostAnswer,
                   {Outcome::answered, {409, c.failed, 0}},
                   {Outcome::answered, {200, R"({"k":"a","data":{"x":1},"mark":7})", 0}}};
     EXPECT_EQ(commit_until_certain().status, c.status) << c.what;
@@ -267,100 +219,5 @@
   }
 }
 
-// ---------------------------------------------------------------- the shared view of jobs
-
-constexpr const char* kListed =
-    R"({"pairs":[{"k":"j/job-1","data":{},"mark":3},{"k":"j/job-2","data":{"cancelled":true},"mark":4}],)"
-    R"("more":false,"ledger":5})";
-
-class View : public State {
- protected:
-  View() : view(clock, client, settings) {}
-  // What so many questions at once were told.
-  std::vector<Status> ask(int questions) {
-    std::vector<Status> told;
-    for (int i = 0; i < questions; ++i) view.fresh([&](Status status) { told.push_back(status); });
-    clock.run(clock.now() + 5);
-    return told;
-  }
-  JobCache view;
-};
-
-TEST_F(View, FollowsTheRecordsWithOneCallForManyQuestions) {
-  const struct {
-    const char* what;
-    std::pair<Outcome, Response> answer;
-    const char* target;
-    Status status;
-    std::vector<std::pair<std::string, bool>> jobs;  // and whether they are cancelled
-  } cases[] = {
-      {"first it is read",
-       {Outcome::answered, {200, kListed, 0}},
-       "/store?starts=j/",
-       Status::ok,
-       {{"job-1", false}, {"job-2", true}}},
-      {"then only changes are",
-       {Outcome::answered,
-        {200,
-         R"({"ledger":9,"events":[{"write":"j/job-3","data":{},"mark":6},)"
-         R"({"drop":"j/job-2","mark":7},{"write":"j/job-1","data":{"cancelled":true},"mark":9}]})",
-         0}},
-       "/watch?starts=j/&since=5&blockMs=0",
-       Status::ok,
-       {{"job-1", true}, {"job-3", false}}},
-      {"nothing has changed",
-       {Outcome::answered, {200, R"({"ledger":12,"events":[]})", 0}},
-       "/watch?starts=j/&since=9&blockMs=0",
-       Status::ok,
-       {{"job-1", true}, {"job-3", false}}},
-      {"it cannot be asked",
-       {Outcome::answered, {503, "{}", 0}},
-       "/watch?starts=j/&since=12&blockMs=0",
-       Status::unavailable,
-       {{"job-1", true}, {"job-3", false}}},
-      {"no answer",
-       kLost,
-       "/watch?starts=j/&since=12&blockMs=0",
-       Status::unknown,
-       {{"job-1", true}, {"job-3", false}}},
-  };
-  for (const auto& c : cases) {
-    net.sent.clear();
-    net.script = {c.answer};
-    EXPECT_EQ(ask(50), std::vector<Status>(50, c.status)) << c.what;
-    ASSERT_EQ(net.sent.size(), 1u) << c.what;
-    EXPECT_TRUE(net.sent[0].target.starts_with(c.target)) << c.what << ": " << net.sent[0].target;
-    for (const char* id : {"job-1", "job-2", "job-3"}) {
-      const auto wanted = std::find_if(c.jobs.begin(), c.jobs.end(),
-                                       [&](const auto& job) { return job.first == id; });
-      const auto* seen = view.find(id);
-      ASSERT_EQ(seen != nullptr, wanted != c.jobs.end()) << c.what << ": " << id;
-      if (seen == nullptr) continue;
-      EXPECT_EQ(seen->cancelled, wanted->second) << c.what << ": " << id;
-    }
-  }
-}
-
-TEST_F(View, IsReadAnewWhenItHasFallenBehind) {
-  net.script = {{Outcome::answered, {200, kListed, 0}}};
-  ask(1);
-  net.script = {{Outcome::answered, {410, "{}", 0}},
-                {Outcome::answered, {200, R"({"pairs":[],"more":false,"ledger":40000})", 0}}};
-  EXPECT_EQ(ask(1), std::vector<Status>{Status::ok});
-  EXPECT_EQ(view.find("job-1"), nullptr);
-}
-
-// A call that is under way may have been carried out before the question was asked.
-TEST_F(View, AQuestionWaitsForACallSentAfterIt) {
-  std::vector<int> told;
-  view.fresh([&](Status) {
-    told.push_back(1);
-    view.fresh([&](Status) { told.push_back(2); });
-  });
-  clock.run(clock.now() + 5);
-  EXPECT_EQ(told, (std::vector<int>{1, 2}));
-  EXPECT_EQ(net.sent.size(), 2u);
-}
-
 }  // namespace
 }  // namespace larkroad::storage
--- /dev/null
+++ b/tests/scripted_store.hpp
@@ -0,0 +1,52 @@
+/// A key-value store client whose answers a test writes down beforehand.
+#pragma once
+
+#include <gtest/gtest.h>
+
+#include <deque>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "manual_clock.hpp"
+#include "storage/key_value_client.hpp"
+#include "support.hpp"
+
+namespace larkroad::testing {
+
+using transport::Outcome;
+using transport::Request;
+using transport::Response;
+using ScriptedAnswer = std::pair<Outcome, Response>;
+
+/// Answers each call at once with the next answer of the script, and with success after its end.
+class ScriptedClient : public transport::Client {
+ public:
+  void call(const std::string&, Request request, Seconds, transport::OnReply reply) override {
+    sent.push_back(request);
+    if (script.empty()) {
+      reply(Outcome::answered, {200, R"({"ledger":1})", 0});
+      return;
+    }
+    auto [outcome, response] = script.front();
+    script.pop_front();
+    reply(outcome, response);
+  }
+  std::vector<Request> sent;
+  std::deque<ScriptedAnswer> script;
+};
+
+inline const ScriptedAnswer kLostAnswer{Outcome::unknown, {}};
+
+/// A client of a scripted store.
+class ScriptedStoreTest : public ::testing::Test {
+ protected:
+  ScriptedStoreTest() : settings(testing::settings()), client(clock, net, settings) {}
+
+  Settings settings;
+  ManualClock clock;
+  ScriptedClient net;
+  storage::KeyValueClient client;
+};
+
+}  // namespace larkroad::testing
