--- a/src/storage/job_cache.cpp
+++ b/src/storage/job_cache.cpp
@@ -1,89 +1,113 @@
 #include "storage/job_cache.hpp"
 
-#include "storage/records.hpp"
+#include <algorithm>
+#include <utility>
+
+#include "storage/job_record.hpp"
+#include "storage/record_keys.hpp"
 
 namespace larkroad::storage {
+namespace {
+
+// Queries that come within this part of a heartbeat interval share one request.
+constexpr double kBatchesPerHeartbeat = 200;
+
+}  // namespace
 
-void JobCache::fresh(std::function<void(Status)> done) {
-  waiting_.push_back(std::move(done));
-  if (asking_) return;
-  asking_ = true;
-  // Those that come within a moment go with the same call.
-  clock_.after(pause_, [this] { ask(); });
+JobCache::JobCache(transport::Clock& clock, KeyValueClient& store, const Settings& settings)
+    : store_(store),
+      batch_delay_(settings.heartbeat_interval_s / kBatchesPerHeartbeat),
+      scope_(clock) {}
+
+void JobCache::refresh(std::function<void(Status)> done) {
+  next_callbacks_.push_back(std::move(done));
+  if (!updating_) schedule_update();
 }
 
-const JobCache::Seen* JobCache::find(const std::string& id) const {
+const JobCache::CachedJob* JobCache::find(const std::string& id) const {
   const auto it = jobs_.find(job_key(id));
   return it == jobs_.end() ? nullptr : &it->second;
 }
 
-void JobCache::ask() {
-  // The call is sent after all of these have asked, so its answer is no older than any of them.
-  asked_ = std::move(waiting_);
-  waiting_.clear();
-  if (revision_ == 0) {
-    jobs_.clear();
-    list("");
+void JobCache::schedule_update() {
+  updating_ = true;
+  scope_.after(batch_delay_, [this] { update(); });
+}
+
+void JobCache::update() {
+  // The request is sent after all of these were made, so its answer is no older than any of them.
+  update_callbacks_ = std::move(next_callbacks_);
+  next_callbacks_.clear();
+  if (revision_) {
+    read_changes();
+  } else {
+    read_all();
+  }
+}
+
+void JobCache::read_changes() {
+  store_.watch(kJobPrefix, *revision_, 0,
+               scope_.wrap([this](const WatchReply& reply) { apply_changes(reply); }),
+               RequestPriority::user);
+}
+
+void JobCache::apply_changes(const WatchReply& reply) {
+  if (reply.status == Status::too_old) {
+    read_all();
     return;
   }
-  store_.watch(
-      kJobPrefix, revision_, 0,
-      [this](WatchReply reply) {
-        if (reply.status == Status::ok) {
-          for (const auto& event : reply.events) {
-            if (event.deleted) {
-              jobs_.erase(event.key);
-            } else {
-              put(event.key, event.data);
-            }
-          }
-          revision_ = std::max(revision_, reply.revision);
-        } else if (reply.status == Status::too_old) {
-          revision_ = 0;
-          jobs_.clear();
-          list("");
-          return;
-        }
-        answer(reply.status);
-      },
-      RequestPriority::user);
+  if (reply.status == Status::ok) {
+    for (const Event& event : reply.events) {
+      if (event.deleted) {
+        jobs_.erase(event.key);
+      } else {
+        store_job(event.key, event.data);
+      }
+    }
+    revision_ = std::max(*revision_, reply.revision);
+  }
+  finish_update(reply.status);
 }
 
-void JobCache::list(const std::string& after) {
-  store_.list(
-      kJobPrefix, after,
-      [this](ListReply reply) {
-        if (reply.status != Status::ok) {
-          revision_ = 0;
-          answer(reply.status);
-          return;
-        }
-        // Changes since the first page come with the next call.
-        if (revision_ == 0) revision_ = reply.revision;
-        for (const auto& entry : reply.entries) put(entry.key, entry.data);
-        if (reply.more && !reply.entries.empty()) {
-          list(reply.entries.back().key);
-        } else {
-          answer(Status::ok);
-        }
-      },
-      RequestPriority::user);
+void JobCache::read_all() {
+  revision_.reset();
+  jobs_.clear();
+  read_page("");
 }
 
-void JobCache::put(const std::string& key, const Json& data) {
-  const Json* cancelled = protocol::find(data, "cancelled");
-  jobs_[key] = {cancelled != nullptr && cancelled->is_boolean() && cancelled->get<bool>()};
+void JobCache::read_page(const std::string& after) {
+  store_.list(kJobPrefix, after, scope_.wrap([this](const ListReply& reply) { apply_page(reply); }),
+              RequestPriority::user);
 }
 
-void JobCache::answer(Status status) {
-  const auto asked = std::move(asked_);
-  asked_.clear();
-  asking_ = false;
-  for (const auto& done : asked) done(status);
-  if (!waiting_.empty() && !asking_) {
-    asking_ = true;
-    clock_.after(pause_, [this] { ask(); });
+void JobCache::apply_page(const ListReply& reply) {
+  if (reply.status != Status::ok) {
+    revision_.reset();
+    finish_update(reply.status);
+    return;
+  }
+  // The revision of the first page: what changes while the others are read comes with the next
+  // update. A store at revision 0 is empty, and is listed again.
+  if (!revision_ && reply.revision > 0) revision_ = reply.revision;
+  for (const Entry& entry : reply.entries) store_job(entry.key, entry.data);
+  if (reply.more && !reply.entries.empty()) {
+    read_page(reply.entries.back().key);
+  } else {
+    finish_update(Status::ok);
   }
 }
 
+void JobCache::store_job(const std::string& key, const Json& data) {
+  jobs_[key] = {is_cancelled(data)};
+}
+
+void JobCache::finish_update(Status status) {
+  const Callbacks callbacks = std::move(update_callbacks_);
+  update_callbacks_.clear();
+  updating_ = false;
+  for (const auto& done : callbacks) done(status);
+  // Refreshes that came during the update need a later one.
+  if (!next_callbacks_.empty() && !updating_) schedule_update();
+}
+
 }  // namespace larkroad::storage
