--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -180,7 +180,7 @@
   for (const auto& c : cases) {
     JobSpec spec = testing::spec("job-1");
     c.change(spec);
-    EXPECT_EQ(coordination::never_runnable(spec, settings, types).empty(), c.runnable) << c.what;
+    EXPECT_EQ(!coordination::never_runnable(spec, settings, types), c.runnable) << c.what;
   }
 }
 
