--- a/src/coordination/api/api_responses.cpp
+++ b/src/coordination/api/api_responses.cpp
@@ -1,8 +1,11 @@
 #include "coordination/api/api_responses.hpp"
 
+#include "transport/http_status.hpp"
+
 namespace larkroad::coordination {
 namespace {
 
+namespace http_status = transport::http_status;
 constexpr int kRetryAfterSeconds = 1;
 
 }  // namespace
@@ -16,7 +19,7 @@
 }
 
 transport::Response retry_response(const std::string& reason) {
-  return {503, protocol::encode_error(reason), kRetryAfterSeconds};
+  return {http_status::kServiceUnavailable, protocol::encode_error(reason), kRetryAfterSeconds};
 }
 
 transport::Response store_unavailable_response() {
--- a/src/coordination/api/job_cancellation.cpp
+++ b/src/coordination/api/job_cancellation.cpp
@@ -6,9 +6,11 @@
 #include "coordination/api/api_responses.hpp"
 #include "storage/job_record.hpp"
 #include "storage/record_keys.hpp"
+#include "transport/http_status.hpp"
 
 namespace larkroad::coordination {
 
+namespace http_status = transport::http_status;
 using protocol::JobState;
 using storage::Status;
 using transport::Respond;
@@ -30,11 +32,11 @@
   lookup_.find_with_record(
       id, [this, id, until, respond = std::move(respond)](const JobLookupResult& job) {
         if (job.not_found()) {
-          respond(error_response(404, "no such job"));
+          respond(error_response(http_status::kNotFound, "no such job"));
         } else if (!job.found()) {
           respond(store_unavailable_response());
         } else if (job.is_over() || !job.active) {
-          respond(state_response(200, id, job.state));
+          respond(state_response(http_status::kOk, id, job.state));
         } else {
           write_record(id, *job.active, until, respond);
         }
@@ -55,7 +57,7 @@
       [this, id, until, respond = std::move(respond)](const storage::CommitReply& reply) {
         if (reply.status == Status::ok) {
           on_cancelled_(id);
-          respond(state_response(200, id, JobState::cancelled));
+          respond(state_response(http_status::kOk, id, JobState::cancelled));
         } else if (reply.status == Status::conflict && clock_.now() < until) {
           attempt(id, until, respond);  // the record has changed since it was read
         } else {
--- a/src/coordination/api/job_submission.cpp
+++ b/src/coordination/api/job_submission.cpp
@@ -9,10 +9,12 @@
 #include "storage/job_record.hpp"
 #include "storage/placement_record.hpp"
 #include "storage/record_keys.hpp"
+#include "transport/http_status.hpp"
 
 namespace larkroad::coordination {
 namespace {
 
+namespace http_status = transport::http_status;
 using protocol::JobState;
 using storage::Status;
 using transport::Respond;
@@ -64,7 +66,7 @@
 void JobSubmission::handle(const std::string& body, Respond respond) {
   ParsedSubmission parsed = parse(body);
   if (!parsed.spec) {
-    reject(parsed.id, error_response(400, parsed.error), std::move(respond));
+    reject(parsed.id, error_response(http_status::kBadRequest, parsed.error), std::move(respond));
     return;
   }
   if (!catalog_.known()) {
@@ -73,7 +75,7 @@
   }
   protocol::JobSpec& spec = *parsed.spec;
   if (const auto reason = never_runnable(spec, settings_, catalog_.types())) {
-    reject(spec.id, error_response(422, *reason), std::move(respond));
+    reject(spec.id, error_response(http_status::kUnprocessableEntity, *reason), std::move(respond));
     return;
   }
   if (spec.is_service() && !services_supported_()) {
@@ -93,7 +95,7 @@
   lookup_.find_with_record(id, [id, response = std::move(response),
                                 respond = std::move(respond)](const JobLookupResult& job) {
     if (job.found()) {
-      respond(state_response(200, id, job.state));
+      respond(state_response(http_status::kOk, id, job.state));
     } else if (job.not_found()) {
       respond(response);
     } else {
@@ -103,16 +105,16 @@
 }
 
 void JobSubmission::postpone(const std::string& id, const std::string& reason, Respond respond) {
-  lookup_.find_with_record(
-      id, [id, reason, respond = std::move(respond)](const JobLookupResult& job) {
-        respond(job.found() ? state_response(200, id, job.state) : retry_response(reason));
-      });
+  lookup_.find_with_record(id, [id, reason,
+                                respond = std::move(respond)](const JobLookupResult& job) {
+    respond(job.found() ? state_response(http_status::kOk, id, job.state) : retry_response(reason));
+  });
 }
 
 void JobSubmission::accept(const protocol::JobSpec& spec, Respond respond) {
   const transport::Seconds until = clock_.now() + kAnswerWithin;
   if (const auto finished = lookup_.find_finished(spec.id)) {
-    respond(state_response(200, spec.id, finished->state));
+    respond(state_response(http_status::kOk, spec.id, finished->state));
     return;
   }
   if (!store_.worth_trying()) {
@@ -123,7 +125,8 @@
   const storage::JobRecord record{spec, clock_.unix_time(),
                                   storage::max_tasks_per_shard(limits.value_kb), false};
   if (!storage::can_be_cancelled_within(record, limits.value_bytes())) {
-    reject(spec.id, error_response(400, "the names in it are too long together"),
+    reject(spec.id,
+           error_response(http_status::kBadRequest, "the names in it are too long together"),
            std::move(respond));
     return;
   }
@@ -137,7 +140,7 @@
       new_job_transaction(record), [this, until] { return clock_.now() < until; },
       [this, id = record.spec.id, respond = std::move(respond)](const storage::CommitReply& reply) {
         if (reply.status == Status::ok) {
-          respond(state_response(201, id, JobState::queued));
+          respond(state_response(http_status::kCreated, id, JobState::queued));
         } else if (reply.status == Status::conflict) {
           respond_with_state(id, respond);
         } else {
@@ -149,7 +152,8 @@
 
 void JobSubmission::respond_with_state(const std::string& id, Respond respond) {
   lookup_.find_with_record(id, [id, respond = std::move(respond)](const JobLookupResult& job) {
-    respond(job.found() ? state_response(200, id, job.state) : store_unavailable_response());
+    respond(job.found() ? state_response(http_status::kOk, id, job.state)
+                        : store_unavailable_response());
   });
 }
 
--- a/src/coordination/api/user_api.cpp
+++ b/src/coordination/api/user_api.cpp
@@ -2,9 +2,11 @@
 
 #include "coordination/api/api_responses.hpp"
 #include "protocol/job_messages.hpp"
+#include "transport/http_status.hpp"
 
 namespace larkroad::coordination {
 
+namespace http_status = transport::http_status;
 using protocol::JobState;
 using protocol::UserCall;
 using transport::Respond;
@@ -19,16 +21,16 @@
 void UserApi::handle(const transport::Request& request, Respond respond) {
   const auto target = protocol::route_user_call(request.method, request.target);
   if (target.call == UserCall::none) {
-    respond(error_response(404, "no such path"));
+    respond(error_response(http_status::kNotFound, "no such path"));
     return;
   }
   if (target.wrong_method) {
-    respond(error_response(405, "no such method here"));
+    respond(error_response(http_status::kMethodNotAllowed, "no such method here"));
     return;
   }
   switch (target.call) {
     case UserCall::health:
-      respond({healthy() ? 200 : 503, "{}", 0});
+      respond({healthy() ? http_status::kOk : http_status::kServiceUnavailable, "{}", 0});
       return;
     case UserCall::submit:
       submission_.handle(request.body, std::move(respond));
@@ -52,10 +54,11 @@
 
 transport::Response UserApi::query_response(const std::string& id,
                                             const JobLookupResult& job) const {
-  if (job.not_found()) return error_response(404, "no such job");
+  if (job.not_found()) return error_response(http_status::kNotFound, "no such job");
   if (!job.found()) return store_unavailable_response();
   const JobProgress progress = displayed_progress(id, job);
-  return {200, protocol::encode_job_status(id, job.state, progress.done, progress.running), 0};
+  return {http_status::kOk,
+          protocol::encode_job_status(id, job.state, progress.done, progress.running), 0};
 }
 
 JobProgress UserApi::displayed_progress(const std::string& id, const JobLookupResult& job) const {
--- a/src/storage/key_value_client.cpp
+++ b/src/storage/key_value_client.cpp
@@ -7,15 +7,14 @@
 
 #include "log.hpp"
 #include "storage/certain_commit.hpp"
+#include "transport/http_status.hpp"
 
 namespace larkroad::storage {
 namespace {
 
 using transport::Outcome;
 using transport::Response;
-
-constexpr int kTooManyRequests = 429;
-constexpr int kServiceUnavailable = 503;
+namespace http_status = transport::http_status;
 
 // Requests time out well above the few hundred milliseconds that a slow answer takes, and well
 // below the lease, so that several fit into it.
@@ -94,14 +93,14 @@
       }));
 }
 
-void KeyValueClient::record_answer(Outcome outcome, int http_status) {
+void KeyValueClient::record_answer(Outcome outcome, int status) {
   // 429 shows that the store is there too, but a 503 may be for this controller alone.
-  if (outcome == Outcome::answered && http_status != kServiceUnavailable) {
+  if (outcome == Outcome::answered && status != http_status::kServiceUnavailable) {
     availability_.record_success();
   } else {
     availability_.record_failure();
   }
-  if (outcome == Outcome::answered && http_status == kTooManyRequests) lower_limits();
+  if (outcome == Outcome::answered && status == http_status::kTooManyRequests) lower_limits();
 }
 
 void KeyValueClient::lower_limits() {
--- a/src/storage/store_messages.cpp
+++ b/src/storage/store_messages.cpp
@@ -2,11 +2,14 @@
 
 #include <utility>
 
+#include "transport/http_status.hpp"
+
 namespace larkroad::storage {
 namespace {
 
 using transport::Outcome;
 using transport::Request;
+namespace http_status = transport::http_status;
 
 constexpr const char* kPageSize = "1000";
 // The bounds that the store sets on the life of a lease.
@@ -55,18 +58,18 @@
   if (outcome == Outcome::not_sent) return Status::unavailable;
   if (outcome == Outcome::unknown) return Status::unknown;
   switch (http_status) {
-    case 200:
+    case http_status::kOk:
       return Status::ok;
-    case 400:
+    case http_status::kBadRequest:
       return Status::invalid;
-    case 404:
+    case http_status::kNotFound:
       return Status::missing;
-    case 409:
+    case http_status::kConflict:
       return Status::conflict;
-    case 410:
+    case http_status::kGone:
       return Status::too_old;
-    case 429:
-    case 503:
+    case http_status::kTooManyRequests:
+    case http_status::kServiceUnavailable:
       return Status::unavailable;
     default:
       return Status::unknown;
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -178,7 +178,7 @@
 
   void fail() { finish(false); }
 
-  // Ends the request under way: the connection is idle or closed before the caller is told.
+  // Ends the request under way: the connection is idle or closed before the caller is called back.
   void finish(bool answered) {
     if (*owner_ == nullptr) return;
     stop_timer();
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -9,6 +9,7 @@
 #include <utility>
 
 #include "log.hpp"
+#include "transport/http_status.hpp"
 
 namespace larkroad::transport {
 namespace {
@@ -25,27 +26,27 @@
 
 const char* reason_phrase(int status) {
   switch (status) {
-    case 200:
+    case http_status::kOk:
       return "OK";
-    case 201:
+    case http_status::kCreated:
       return "Created";
-    case 400:
+    case http_status::kBadRequest:
       return "Bad Request";
-    case 404:
+    case http_status::kNotFound:
       return "Not Found";
-    case 405:
+    case http_status::kMethodNotAllowed:
       return "Method Not Allowed";
-    case 408:
+    case http_status::kRequestTimeout:
       return "Request Timeout";
-    case 413:
+    case http_status::kPayloadTooLarge:
       return "Payload Too Large";
-    case 421:
+    case http_status::kMisdirectedRequest:
       return "Misdirected Request";
-    case 422:
+    case http_status::kUnprocessableEntity:
       return "Unprocessable Entity";
-    case 429:
+    case http_status::kTooManyRequests:
       return "Too Many Requests";
-    case 503:
+    case http_status::kServiceUnavailable:
       return "Service Unavailable";
     default:
       return "Status";
@@ -117,7 +118,7 @@
         return;
       }
       if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK || parser_.upgrade) {
-        refuse(too_large_ ? 413 : 400);
+        refuse(too_large_ ? http_status::kPayloadTooLarge : http_status::kBadRequest);
         return;
       }
     }
