--- a/src/coordination/cluster_state/cluster_state.cpp
+++ b/src/coordination/cluster_state/cluster_state.cpp
@@ -50,7 +50,7 @@
 
 void ClusterState::remove_job(const std::string& id) { jobs_.erase(id); }
 
-ClusterState::TaskRange ClusterState::tasks_of_shard(const Job& job, std::uint32_t shard) {
+ClusterState::ShardBounds ClusterState::tasks_of_shard(const Job& job, std::uint32_t shard) {
   const std::uint32_t first = shard * job.tasks_per_shard;
   return {first, std::min(first + job.tasks_per_shard, job.spec.tasks)};
 }
@@ -60,7 +60,7 @@
                                       std::uint64_t revision, std::uint64_t uncertain_fencing_token,
                                       Seconds now) {
   job.shards[shard] = {revision, record.attempt, false, 0};
-  const TaskRange range = tasks_of_shard(job, shard);
+  const ShardBounds range = tasks_of_shard(job, shard);
   // A replica of a service is never done, whatever a controller that took it for an array's task
   // has recorded.
   if (!job.spec.is_service()) restore_done(job, record.done, range.end);
@@ -72,7 +72,7 @@
 }
 
 void ClusterState::restore_done(Job& job,
-                                const std::vector<std::pair<std::uint32_t, std::uint32_t>>& ranges,
+                                const std::vector<storage::TaskRange>& ranges,
                                 std::uint32_t end) {
   for (const auto& [from, to] : ranges) {
     for (std::uint32_t task = from; task <= to && task < end; ++task) {
@@ -97,7 +97,7 @@
 }
 
 // Brings `requeued` and `next_never_placed` in line with a shard that has just been restored.
-void ClusterState::requeue_waiting(Job& job, const TaskRange& shard) {
+void ClusterState::requeue_waiting(Job& job, const ShardBounds& shard) {
   const auto waits = [&job](std::uint32_t task) {
     return !job.done[task] && !job.placements.contains(task);
   };
@@ -133,10 +133,10 @@
   const auto [first, end] = tasks_of_shard(job, shard);
   for (std::uint32_t task = first; task < end; ++task) {
     if (!job.done[task]) continue;
-    if (!record.done.empty() && record.done.back().second + 1 == task) {
-      record.done.back().second = task;
+    if (!record.done.empty() && record.done.back().last + 1 == task) {
+      record.done.back().last = task;
     } else {
-      record.done.emplace_back(task, task);
+      record.done.push_back({task, task});
     }
   }
   for (auto placed = job.placements.lower_bound(first); placed != job.placements.end(); ++placed) {
--- a/src/coordination/cluster_state/cluster_state.hpp
+++ b/src/coordination/cluster_state/cluster_state.hpp
@@ -113,17 +113,16 @@
 
  private:
   /// The tasks of a shard: from `first` on, before `end`.
-  struct TaskRange {
+  struct ShardBounds {
     std::uint32_t first;
     std::uint32_t end;
   };
-  static TaskRange tasks_of_shard(const Job& job, std::uint32_t shard);
+  static ShardBounds tasks_of_shard(const Job& job, std::uint32_t shard);
   static void restore_done(Job& job,
-                           const std::vector<std::pair<std::uint32_t, std::uint32_t>>& ranges,
-                           std::uint32_t end);
+                           const std::vector<storage::TaskRange>& ranges, std::uint32_t end);
   void restore_placement(Job& job, const storage::PlacedTask& placed,
                          std::uint64_t uncertain_fencing_token, Seconds now);
-  static void requeue_waiting(Job& job, const TaskRange& shard);
+  static void requeue_waiting(Job& job, const ShardBounds& shard);
   /// Ends the task's placement, if it has one, and gives its capacity and quota free.
   void remove_placement(Job& job, std::uint32_t task, Seconds now);
 
