--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -157,7 +157,7 @@
   coordination::ClusterState cluster(settings);
   auto spec = testing::spec("job-1", 3);
   spec.shape = protocol::Shape::service;
-  auto& job = testing::add(cluster, spec);
+  auto& job = testing::add_job(cluster, spec);
   cluster.restore_placements(job, 0, {4, {{0, 1}}, {{2, 4, "i-1", 1}}}, 7, 5, 0);
   EXPECT_EQ(job.done_count, 0u);
   EXPECT_EQ(job.waiting(), 2u);
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -1,4 +1,5 @@
-// What several tests share: a deployment of the tests' own, machines and jobs for a cluster.
+/// What several tests share: settings of a small deployment of their own, and machines and jobs for
+/// a cluster.
 #pragma once
 
 #include <string>
@@ -8,7 +9,7 @@
 
 namespace larkroad::testing {
 
-// A small deployment in two zones with two teams; no figures of any real one.
+/// A small deployment in two zones with two teams; no figures of any real one.
 inline std::string settings_text() {
   return R"(
 member = "node-0"
@@ -79,6 +80,7 @@
 
 inline Settings settings() { return parse_settings(settings_text()); }
 
+/// Types of machines; only "gpu" has GPUs, and it is in one zone only.
 inline std::vector<protocol::MachineType> types() {
   protocol::MachineType small{"small", 4, 0, 16, 50, 0.5, 0.2, 0.05, 30, {"east", "west"}};
   protocol::MachineType large{"large", 16, 0, 64, 50, 0.5, 1.0, 0.25, 40, {"east", "west"}};
@@ -86,49 +88,54 @@
   return {small, large, gpu};
 }
 
+/// A job of team "red" whose tasks any machine may run.
 inline protocol::JobSpec spec(const std::string& id, std::uint32_t tasks = 1, double cpus = 2) {
-  protocol::JobSpec s;
-  s.id = id;
-  s.job_class = "plain";
-  s.team = "red";
-  s.tasks = tasks;
-  s.cpus = cpus;
-  s.memory_gb = 1;
-  s.image = "image";
-  s.image_gb = 1;
-  s.estimate_s = 10;
-  return s;
+  protocol::JobSpec spec;
+  spec.id = id;
+  spec.job_class = "plain";
+  spec.team = "red";
+  spec.tasks = tasks;
+  spec.cpus = cpus;
+  spec.memory_gb = 1;
+  spec.image = "image";
+  spec.image_gb = 1;
+  spec.estimate_s = 10;
+  return spec;
 }
 
+/// A service of that team, whose replicas run until it is cancelled.
 inline protocol::JobSpec service(const std::string& id, std::uint32_t replicas = 3,
                                  double cpus = 1) {
-  protocol::JobSpec s = spec(id, replicas, cpus);
-  s.shape = protocol::Shape::service;
-  s.priority = protocol::Priority::production;
-  s.job_class = "serving";
-  s.estimate_s = 0;
-  return s;
+  protocol::JobSpec service = spec(id, replicas, cpus);
+  service.shape = protocol::Shape::service;
+  service.priority = protocol::Priority::production;
+  service.job_class = "serving";
+  service.estimate_s = 0;
+  return service;
 }
 
-inline coordination::Job& add(coordination::ClusterState& cluster, const protocol::JobSpec& spec,
-                              double submitted_at = 0) {
-  return cluster.add_job(spec.id, {spec, submitted_at, 64, false}, 1);
+/// Adds a job that has been accepted.
+inline coordination::Job& add_job(coordination::ClusterState& cluster,
+                                  const protocol::JobSpec& spec, double submitted_at = 0) {
+  constexpr std::uint32_t kTasksPerShard = 64;
+  return cluster.add_job(spec.id, {spec, submitted_at, kTasksPerShard, false}, 1);
 }
 
-inline coordination::Machine& up(coordination::ClusterState& cluster, const std::string& name,
-                                 const std::string& type, const std::string& zone = "east",
-                                 bool spot = false) {
-  auto& m = cluster.machine(name);
-  m.has_reported = true;
-  m.identity_confirmed = true;
-  m.incarnation = 1;
-  m.zone = zone;
-  m.spot = spot;
-  m.address = "10.0.0.1:1";
-  m.rented_at = 0.001;
-  m.last_worker_heartbeat_at = 1e6;  // later than any time of the tests: it goes on reporting
-  cluster.set_type(m, type);
-  return m;
+/// Adds a machine that is up, known to the cloud's list and idle.
+inline coordination::Machine& add_machine(coordination::ClusterState& cluster,
+                                          const std::string& name, const std::string& type,
+                                          const std::string& zone = "east", bool spot = false) {
+  auto& machine = cluster.machine(name);
+  machine.has_reported = true;
+  machine.identity_confirmed = true;
+  machine.incarnation = 1;
+  machine.zone = zone;
+  machine.spot = spot;
+  machine.address = "10.0.0.1:1";
+  machine.rented_at = 0.001;
+  machine.last_worker_heartbeat_at = 1e6;  // later than any time of the tests: it goes on reporting
+  cluster.set_type(machine, type);
+  return machine;
 }
 
 }  // namespace larkroad::testing
