--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -1,9 +1,9 @@
 // What the first version writes is read by this one, and the other way round.
 //
 // fixtures/first_version.json holds requests of the controllers of the commit that it names. To
-// capture them, its simulated runs (Scenarios/Run, LateTransactions) were played with a line in
-// World::send that wrote down each request of a node to the state service or to another node; of
-// each kind of message one is kept.
+// capture them, its simulated runs (of single faults, and of late transactions) were played with a
+// line in Network::send that wrote down each request of a controller to the store or to another
+// controller; of each kind of message one is kept.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -139,12 +139,12 @@
            message.body.value("member", "") == "node-" + std::to_string(other)) {
       ++other;
     }
-    ASSERT_LT(other, 3u);
-    world.node(other).handle_peer(
+    ASSERT_LT(other, sim::kControllers);
+    world.controller(other).handle_peer(
         {"POST", message.target, message.body.dump()},
         [&](const transport::Response& response) { status = response.status; });
     world.run(8);
-    // A batch of reports is for whoever leads.
+    // A batch of heartbeats is for whoever leads.
     EXPECT_EQ(status, message.target == protocol::kRelayPath ? 421 : 200);
   }
   EXPECT_EQ(targets, (std::set<std::string>{"/peer", "/cancelled", "/user", "/relay"}));
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -10,23 +10,22 @@
 
 using testing::service;
 
-std::shared_ptr<Worker> machine_with(const World& world, const std::string& job) {
+std::shared_ptr<FakeWorker> machine_with(const World& world, const std::string& job) {
   for (const auto& worker : world.workers) {
-    if (!worker->gone && worker->runs(job)) return worker;
+    if (!worker->terminated && worker->is_running(job)) return worker;
   }
   return nullptr;
 }
 
 std::vector<Seconds> starts_of(World& world, const std::string& job, std::uint32_t task) {
   std::vector<Seconds> out;
-  for (const auto& [when, started] : world.starts_of(job)) {
+  for (const auto& [when, started] : world.tasks.starts_of(job)) {
     if (started == task) out.push_back(when);
   }
   return out;
 }
 
-// Whatever ends a replica, it runs again, and the job is neither done nor over until its user
-// cancels it.
+// Whatever ends a replica, it runs again, and the job is not over until its user cancels it.
 TEST(Services, AReplicaRunsAgainWhateverEndsIt) {
   const struct {
     const char* name;
@@ -34,59 +33,62 @@
     Seconds back_within;
   } cases[] = {
       {"exit with success",
-       [](World& w) {
-         EXPECT_TRUE(w.end_task({"job-1", 0}, "done"));
+       [](World& world) {
+         EXPECT_TRUE(world.tasks.end_task({"job-1", 0}, "done"));
        },
        4},
       {"exit with an error",
-       [](World& w) {
-         EXPECT_TRUE(w.end_task({"job-1", 0}, "error"));
+       [](World& world) {
+         EXPECT_TRUE(world.tasks.end_task({"job-1", 0}, "error"));
        },
        4},
-      // The list of machines tells of it, or its lease runs out.
-      {"machine lost", [](World& w) { machine_with(w, "job-1")->vanish(); }, 20},
-      {"machine restarted", [](World& w) { machine_with(w, "job-1")->restart(); }, 6},
-      {"machine hung beyond its lease", [](World& w) { machine_with(w, "job-1")->hang(20); }, 30},
-      // One of two replicas finds room before the end; the other only when the loss is proved.
-      {"machine taken back", [](World& w) { machine_with(w, "job-1")->notice(6); }, 25},
+      // It is missing from the list of machines, or its lease expires.
+      {"machine lost", [](World& world) { machine_with(world, "job-1")->terminate(); }, 20},
+      {"machine restarted", [](World& world) { machine_with(world, "job-1")->restart(); }, 6},
+      {"machine hung beyond its lease",
+       [](World& world) { machine_with(world, "job-1")->hang(20); }, 30},
+      // One of two replicas finds capacity before the end; the other only when the loss is certain.
+      {"machine reclaimed", [](World& world) { machine_with(world, "job-1")->reclaim_in(6); }, 25},
       {"leader and machine lost",
-       [](World& w) {
-         machine_with(w, "job-1")->vanish();
-         w.kill(w.leader(), 4);
+       [](World& world) {
+         machine_with(world, "job-1")->terminate();
+         world.crash(world.leader(), 4);
        },
        35},
   };
-  for (const auto& c : cases) {
-    SCOPED_TRACE(c.name);
+  for (const auto& test_case : cases) {
+    SCOPED_TRACE(test_case.name);
     World world(1, {});
-    world.submit(service("job-1", 3, 2), 2);
+    world.users.submit(service("job-1", 3, 2), 2);
     world.run(40);
-    ASSERT_EQ(world.running_tasks("job-1"), 3u);
-    c.end_one(world);
-    world.run(40 + c.back_within);
-    EXPECT_EQ(world.running_tasks("job-1"), 3u);
+    ASSERT_EQ(world.tasks.running_tasks("job-1"), 3u);
+    test_case.end_one(world);
+    world.run(40 + test_case.back_within);
+    EXPECT_EQ(world.tasks.running_tasks("job-1"), 3u);
     world.run(120);
-    EXPECT_EQ(world.running_tasks("job-1"), 3u);
-    EXPECT_FALSE(world.all_over());
-    world.cancel("job-1");
+    EXPECT_EQ(world.tasks.running_tasks("job-1"), 3u);
+    EXPECT_FALSE(world.users.all_jobs_finished());
+    world.users.cancel("job-1");
     world.run(120 + world.settings.cancellation_limit_s);
-    EXPECT_EQ(world.running_tasks("job-1"), 0u);
-    EXPECT_TRUE(world.all_over()) << world.unfinished();
-    expect_no_breach(world);
+    EXPECT_EQ(world.tasks.running_tasks("job-1"), 0u);
+    EXPECT_TRUE(world.users.all_jobs_finished()) << world.users.unfinished_jobs();
+    expect_no_violations(world);
   }
 }
 
 // A replica that ends time after time starts less and less often. The others of its job run on, and
-// no machine is put aside for it.
-TEST(Services, AReplicaThatKeepsEndingIsHeldBackAlone) {
+// no machine is quarantined for it.
+TEST(Services, AReplicaThatKeepsEndingIsBackedOffAlone) {
   for (const char* cause : {"done", "error"}) {
     SCOPED_TRACE(cause);
     World world(1, {});
-    world.submit(service("job-1", 3, 2), 2);
+    world.users.submit(service("job-1", 3, 2), 2);
     world.run(40);
-    ASSERT_EQ(world.running_tasks("job-1"), 3u);
+    ASSERT_EQ(world.tasks.running_tasks("job-1"), 3u);
     for (Seconds when = 40; when < 160; when += 0.5) {
-      world.events.at(when, [&world, cause] { world.end_task({"job-1", 0}, cause); });
+      world.events.schedule_at(when, [&world, cause] {
+        world.tasks.end_task({"job-1", 0}, cause);
+      });
     }
     world.run(160);
     const auto starts = starts_of(world, "job-1", 0);
@@ -94,11 +96,11 @@
     EXPECT_LE(starts.size(), 12u);
     EXPECT_EQ(starts_of(world, "job-1", 1).size(), 1u);
     EXPECT_EQ(starts_of(world, "job-1", 2).size(), 1u);
-    // Once it ends no more it is back within the longest pause, of 16 reports.
+    // Once it ends no more it is back within the longest backoff, of 16 heartbeat intervals.
     world.run(160 + 16 * world.settings.heartbeat_interval_s + 5);
-    EXPECT_EQ(world.running_tasks("job-1"), 3u);
-    EXPECT_EQ(world.machines_gone(), 0u);
-    expect_no_breach(world);
+    EXPECT_EQ(world.tasks.running_tasks("job-1"), 3u);
+    EXPECT_EQ(world.terminated_machines(), 0u);
+    expect_no_violations(world);
   }
 }
 
@@ -106,144 +108,152 @@
 // elsewhere.
 TEST(Services, AFaultyMachineDoesNotKeepAReplicaDown) {
   World world(1, {});
-  world.capacity = 3;
+  world.cloud.capacity = 3;
   JobSpec others = testing::spec("job-2", 3, 12);
   others.types = {"large"};
   others.team = "blue";
   others.estimate_s = 300;
-  world.submit(others, 2);
+  world.users.submit(others, 2);
   world.run(30);
   ASSERT_EQ(world.workers.size(), 3u);
   world.workers[0]->set_faulty();
-  for (int k = 0; k < 4; ++k) world.submit(service("job-" + std::to_string(10 + k), 3, 1), 30 + k);
+  for (int k = 0; k < 4; ++k)
+    world.users.submit(service("job-" + std::to_string(10 + k), 3, 1), 30 + k);
   world.run(75);
   for (int k = 0; k < 4; ++k) {
-    EXPECT_EQ(world.running_tasks("job-" + std::to_string(10 + k)), 3u) << k;
+    EXPECT_EQ(world.tasks.running_tasks("job-" + std::to_string(10 + k)), 3u) << k;
   }
-  expect_no_breach(world);
+  expect_no_violations(world);
 }
 
-// A machine that is to be taken back keeps its replica until there is room for it elsewhere; with
-// room there, the replica has left before the end.
-TEST(Services, AReplicaLeavesAMachineOnlyForRoomElsewhere) {
-  for (const bool room : {true, false}) {
-    SCOPED_TRACE(room ? "room elsewhere" : "no room elsewhere");
+// A machine that is to be reclaimed keeps its replica until there is capacity for it on another
+// one; when there is, the replica has left before the end.
+TEST(Services, AReplicaLeavesAMachineOnlyForCapacityOnAnother) {
+  for (const bool capacity : {true, false}) {
+    SCOPED_TRACE(capacity ? "capacity on another machine" : "no capacity on another machine");
     World world(1, {});
-    world.capacity = 2;
+    world.cloud.capacity = 2;
     JobSpec only = service("job-1", 1, 9);
     only.types = {"large"};
-    world.submit(only, 2);
+    world.users.submit(only, 2);
     JobSpec other = testing::spec("job-2", 1, 9);
     other.types = {"large"};
     other.team = "blue";
     other.priority = protocol::Priority::production;
-    other.estimate_s = room ? 1 : 200;
-    world.submit(other, 2);
+    other.estimate_s = capacity ? 1 : 200;
+    world.users.submit(other, 2);
     world.run(20);
-    ASSERT_EQ(world.running_tasks("job-1"), 1u);
-    ASSERT_EQ(world.running_tasks("job-2"), room ? 0u : 1u);
-    const auto old = machine_with(world, "job-1");
-    old->notice(8);
+    ASSERT_EQ(world.tasks.running_tasks("job-1"), 1u);
+    ASSERT_EQ(world.tasks.running_tasks("job-2"), capacity ? 0u : 1u);
+    const auto reclaimed = machine_with(world, "job-1");
+    reclaimed->reclaim_in(8);
     world.run(27);
-    EXPECT_EQ(old->runs("job-1"), !room);
-    EXPECT_EQ(world.running_tasks("job-1"), 1u);
+    EXPECT_EQ(reclaimed->is_running("job-1"), !capacity);
+    EXPECT_EQ(world.tasks.running_tasks("job-1"), 1u);
     world.run(60);
-    expect_no_breach(world);
+    expect_no_violations(world);
   }
 }
 
-// No machine with a replica goes back to the cloud, however little it holds.
-TEST(Services, AMachineWithAReplicaIsKept) {
+// No machine with a replica is released to the cloud, however little it runs.
+TEST(Services, AMachineWithAReplicaIsNotReleased) {
   World world(1, {});
-  world.submit(service("job-1", 2, 1), 2);
-  world.submit(testing::spec("job-2", 6, 4), 2);
+  world.users.submit(service("job-1", 2, 1), 2);
+  world.users.submit(testing::spec("job-2", 6, 4), 2);
   world.run(200);
-  EXPECT_EQ(world.starts_of("job-1").size(), 2u);
-  EXPECT_EQ(world.running_tasks("job-1"), 2u);
-  world.cancel("job-1");
+  EXPECT_EQ(world.tasks.starts_of("job-1").size(), 2u);
+  EXPECT_EQ(world.tasks.running_tasks("job-1"), 2u);
+  world.users.cancel("job-1");
   world.run(400);
-  EXPECT_EQ(world.machines_gone(), world.workers.size());
-  expect_no_breach(world);
+  EXPECT_EQ(world.terminated_machines(), world.workers.size());
+  expect_no_violations(world);
 }
 
-// Services beside other work, with troubles; cancelled in the midst of being replaced or moved.
-void serve(World& world) {
+// Services beside other work, with faults; cancelled while replicas are being replaced or moved.
+void submit_services(World& world) {
   for (int k = 0; k < 8; ++k) {
     JobSpec spec = service("job-" + std::to_string(10 + k), 2 + k % 4, 1);
     spec.team = k % 2 == 0 ? "red" : "blue";
     spec.spread = k % 3 == 0;
     spec.spot = k % 2 == 1;
-    world.submit(spec, 5 + 5 * k);
-    world.events.at(80 + 15 * k, [&world, id = spec.id] { world.cancel(id); });
+    world.users.submit(spec, 5 + 5 * k);
+    world.events.schedule_at(80 + 15 * k, [&world, id = spec.id] { world.users.cancel(id); });
   }
 }
 
-const Scenario kServing[] = {
-    {"quiet", {}, serve},
+const Scenario kServiceScenarios[] = {
+    {"quiet", {}, submit_services},
     {"machines_go_and_leaders_change",
-     {0.005, 0.005, 20, 0.1},
-     [](World& w) {
-       serve(w);
+     {.lost_responses = 0.005, .delayed_requests = 0.005, .max_request_delay = 20},
+     [](World& world) {
+       submit_services(world);
        for (int k = 0; k < 8; ++k) {
-         w.events.at(25 + 14 * k, [&w, k] {
-           for (const auto& worker : w.workers) {
-             if (worker->gone || w.chance() > 0.2) continue;
+         world.events.schedule_at(25 + 14 * k, [&world, k] {
+           for (const auto& worker : world.workers) {
+             if (worker->terminated || world.random_fraction() > 0.2) continue;
              if (k % 2 == 0) {
-               worker->notice(3 + 8 * w.chance());
+               worker->reclaim_in(3 + 8 * world.random_fraction());
              } else {
-               worker->vanish();
+               worker->terminate();
              }
            }
          });
-         to_leader(w, 27 + 14 * k, [&w](size_t i) { w.kill(i, 0.2 + 4 * w.chance()); });
+         with_leader(world, 27 + 14 * k, [&world](size_t leader) {
+           world.crash(leader, 0.2 + 4 * world.random_fraction());
+         });
        }
      }},
     {"cancelled_while_cut_off_and_refused",
-     {0.005, 0.005, 20, 0.1},
-     [](World& w) {
-       serve(w);
+     {.lost_responses = 0.005, .delayed_requests = 0.005, .max_request_delay = 20},
+     [](World& world) {
+       submit_services(world);
        for (const Seconds when : {78, 92, 108, 123, 138}) {
-         w.events.at(when, [&w] {
-           for (const auto& worker : w.workers) {
-             if (worker->gone || w.chance() > 0.3) continue;
-             if (w.chance() < 0.5) {
-               worker->hang(1 + 10 * w.chance());
+         world.events.schedule_at(when, [&world] {
+           for (const auto& worker : world.workers) {
+             if (worker->terminated || world.random_fraction() > 0.3) continue;
+             if (world.random_fraction() < 0.5) {
+               worker->hang(1 + 10 * world.random_fraction());
              } else {
-               w.deafen(worker->name, 12);
+               world.network.block_inbound(worker->name, 12);
              }
            }
          });
-         to_leader(w, when + 1, [&w](size_t i) { w.isolate(i, 12); });
+         with_leader(world, when + 1,
+                     [&world](size_t leader) { world.isolate_controller(leader, 12); });
        }
-       w.events.at(150, [&w] { w.state.set_outage(true); });
-       w.events.at(158, [&w] { w.state.set_outage(false); });
+       world.events.schedule_at(150, [&world] { world.store.set_outage(true); });
+       world.events.schedule_at(158, [&world] { world.store.set_outage(false); });
      }},
     {"late_copies_of_reports_and_commands",
-     {0.005, 0.02, 20, 0.1, 0.2, 0, 200, 0, 1, 0.2},
-     [](World& w) {
-       serve(w);
+     {.lost_responses = 0.005,
+      .delayed_requests = 0.02,
+      .max_request_delay = 20,
+      .duplicated_heartbeats = 0.2,
+      .duplicated_commands = 0.2},
+     [](World& world) {
+       submit_services(world);
        for (int k = 0; k < 6; ++k) {
-         w.events.at(30 + 18 * k, [&w] {
-           for (const auto& worker : w.workers) {
-             if (!worker->gone && w.chance() < 0.15) worker->restart();
+         world.events.schedule_at(30 + 18 * k, [&world] {
+           for (const auto& worker : world.workers) {
+             if (!worker->terminated && world.random_fraction() < 0.15) worker->restart();
            }
          });
-         to_leader(w, 31 + 18 * k, [&w](size_t i) { w.kill(i, 2); });
+         with_leader(world, 31 + 18 * k, [&world](size_t leader) { world.crash(leader, 2); });
        }
      }},
 };
 
-class Serving : public ::testing::TestWithParam<Scenario> {};
+class ServiceScenario : public ::testing::TestWithParam<Scenario> {};
 
-TEST_P(Serving, KeepsTheRulesAndEndsWhenCancelled) {
-  for (const std::uint64_t seed : {1, 2, 3}) keeps_the_rules(GetParam(), seed);
+TEST_P(ServiceScenario, KeepsTheRulesAndEndsWhenCancelled) {
+  for (const std::uint64_t seed : {1, 2, 3}) run_and_verify(GetParam(), seed);
 }
 
-INSTANTIATE_TEST_SUITE_P(Scenarios, Serving, ::testing::ValuesIn(kServing),
+INSTANTIATE_TEST_SUITE_P(Scenarios, ServiceScenario, ::testing::ValuesIn(kServiceScenarios),
                          [](const auto& info) { return std::string(info.param.name); });
 
 }  // namespace
 
-std::span<const Scenario> service_scenarios() { return kServing; }
+std::span<const Scenario> service_scenarios() { return kServiceScenarios; }
 
 }  // namespace larkroad::sim
--- a/tests/sim/digest.cpp
+++ b/tests/sim/digest.cpp
@@ -71,56 +71,62 @@
 const Scenario kOwnScenarios[] = {
     // Limits that nobody announced; jobs with a mistake; a leader whose watch goes unanswered.
     {"watch_held_up_zones_apart_and_smaller_limits",
-     {0.005, 0.005, 20, 0.2},
-     [](World& w) {
-       w.events.at(20, [&w] { w.store_limits.max_transaction_changes = 2; });
+     {.lost_responses = 0.005,
+      .delayed_requests = 0.005,
+      .max_request_delay = 20,
+      .cancelled_jobs = 0.2},
+     [](World& world) {
+       world.events.schedule_at(20, [&world] { world.store.limits.max_transaction_changes = 2; });
        JobSpec wide = testing::spec("job-5000", 100, 0.25);
        wide.memory_gb = 0.1;
-       w.submit(wide, 25);
+       world.users.submit(wide, 25);
        JobSpec wrong = testing::spec("job-5001", 4);
-       w.faulty_jobs.insert(wrong.id);
-       w.submit(wrong, 30);
-       w.events.at(150, [&w, id = wrong.id] { w.cancel(id); });
-       to_leader(w, 45, [&w](size_t i) { w.state.hold_watches(node(i), 100); });
-       w.events.at(110, [&w] { w.cut_zones(20); });
+       world.tasks.faulty_jobs.insert(wrong.id);
+       world.users.submit(wrong, 30);
+       world.events.schedule_at(150, [&world, id = wrong.id] { world.users.cancel(id); });
+       with_leader(world, 45, [&world](size_t leader) {
+         world.store.hold_watches(controller_name(leader), 100);
+       });
+       world.events.schedule_at(110, [&world] { world.network.partition_zones(20); });
      }},
     // Urgent work for which replicas and arrays of little priority make room.
     {"services_pushed_aside",
      {},
-     [](World& w) {
-       w.capacity = 8;
+     [](World& world) {
+       world.cloud.capacity = 8;
        for (int k = 0; k < 6; ++k) {
          JobSpec replicas = testing::service("job-" + std::to_string(5000 + k), 3, 1 + k % 3);
          replicas.priority = protocol::Priority::low;
          replicas.team = k % 2 == 0 ? "red" : "blue";
-         w.submit(replicas, 5 + k);
-         w.events.at(150, [&w, id = replicas.id] { w.cancel(id); });
+         world.users.submit(replicas, 5 + k);
+         world.events.schedule_at(150, [&world, id = replicas.id] { world.users.cancel(id); });
        }
        for (int k = 0; k < 30; ++k) {
          JobSpec urgent = testing::spec("job-" + std::to_string(6000 + k), 1 + k % 4, 2);
          urgent.priority = protocol::Priority::high;
          urgent.team = k % 2 == 0 ? "blue" : "red";
          urgent.estimate_s = 6;
-         w.submit(urgent, 30 + 3 * k);
+         world.users.submit(urgent, 30 + 3 * k);
        }
      }},
     {"jobs_with_gpus",
-     {0.005, 0.005, 20, 0.1},
-     [](World& w) {
+     {.lost_responses = 0.005, .delayed_requests = 0.005, .max_request_delay = 20},
+     [](World& world) {
        for (int k = 0; k < 24; ++k) {
          JobSpec spec = testing::spec("job-" + std::to_string(5000 + k), 1 + k % 3, 2);
          spec.gpus = 1;
          spec.shape = k % 4 == 0 ? protocol::Shape::gang : protocol::Shape::array;
          spec.priority = k % 3 == 0 ? protocol::Priority::high : protocol::Priority::low;
-         w.submit(spec, 5 + 4 * k);
+         world.users.submit(spec, 5 + 4 * k);
        }
-       to_leader(w, 60, [&w](size_t i) { w.kill(i, 2); });
+       with_leader(world, 60, [&world](size_t leader) { world.crash(leader, 2); });
      }},
 };
 
 const Scenario& scenario_named(std::string_view name) {
-  for (const auto& table : {single_trouble_scenarios(), meeting_scenarios(), service_scenarios(),
-                            upgrade_scenarios(), std::span<const Scenario>(kOwnScenarios)}) {
+  for (const auto& table :
+       {single_fault_scenarios(), relay_scenarios(), combined_failure_scenarios(),
+        service_scenarios(), upgrade_scenarios(), std::span<const Scenario>(kOwnScenarios)}) {
     for (const Scenario& scenario : table) {
       if (name == scenario.name) return scenario;
     }
@@ -147,12 +153,12 @@
 
 void play_run(const Run& run, const std::function<void(const std::string& line)>& on_message) {
   const Scenario& scenario = scenario_named(run.name);
-  World world(run.seed, scenario.troubles,
+  World world(run.seed, scenario.faults,
               [&](Seconds when, const std::string& sender, const std::string& receiver,
                   const Request& request, const Response* response) {
                 on_message(message_line(when, sender, receiver, request, response));
               });
-  play(world, scenario);
+  run_scenario(world, scenario);
 }
 
 std::string digest_line(const Run& run) {
--- a/tests/sim/fake_key_value_store.cpp
+++ b/tests/sim/fake_key_value_store.cpp
@@ -1,3 +1,5 @@
+#include "sim/fake_key_value_store.hpp"
+
 #include <algorithm>
 
 #include "sim/world.hpp"
@@ -5,6 +7,11 @@
 namespace larkroad::sim {
 namespace {
 
+constexpr size_t kMaxBodyBytes = 65536;
+constexpr int kPreconditionsPerChange = 4;
+// Small, so that every run exercises paging.
+constexpr size_t kPageSize = 20;
+
 std::string parameter(const std::string& query, const std::string& name) {
   const auto at = query.find(name + "=");
   if (at == std::string::npos) return "";
@@ -12,157 +19,182 @@
   return query.substr(begin, query.find('&', begin) - begin);
 }
 
+std::string suffix(const std::string& path, std::string_view prefix) {
+  return path.substr(prefix.size());
+}
+
 }  // namespace
 
 void FakeKeyValueStore::handle(const Request& request, const std::string& from, Respond respond) {
-  expire();
-  const auto question = request.target.find('?');
-  const std::string path = request.target.substr(0, question);
+  expire_leases();
+  const auto question_mark = request.target.find('?');
+  const std::string path = request.target.substr(0, question_mark);
   const std::string query =
-      question == std::string::npos ? "" : request.target.substr(question + 1);
+      question_mark == std::string::npos ? "" : request.target.substr(question_mark + 1);
   if (outage_) {
-    respond({503, "{}", 0});
-    return;
-  }
-  if (path == "/watch") {
+    respond({503, "{}"});
+  } else if (path == "/watch") {
     watch(query, from, std::move(respond));
-    return;
-  }
-  if (path == "/commit") {
+  } else if (path == "/commit") {
     respond(commit(request.body));
-    changed();
-    return;
-  }
-  if (path == "/store") {
+    notify_watchers();
+  } else if (path == "/store") {
     respond(list(query));
-    return;
-  }
-  if (path.starts_with("/store/")) {
-    const auto it = keys_.find(path.substr(7));
-    if (it == keys_.end()) {
-      respond({404, Json{{"ledger", revision_}}.dump(), 0});
-    } else {
-      respond(
-          {200,
-           Json{{"k", it->first}, {"data", it->second.data}, {"mark", it->second.revision}}.dump(),
-           0});
-    }
-    return;
+  } else if (path.starts_with("/store/")) {
+    respond(get(suffix(path, "/store/")));
+  } else if (path == "/grants") {
+    respond(grant_lease(request));
+  } else if (path.starts_with("/grants/")) {
+    respond(renew_or_revoke_lease(request));
+  } else {
+    respond({400, "{}"});
   }
-  if (path == "/grants") {
-    const double life = Json::parse(request.body).at("lifeMs").get<double>() / 1000;
-    leases_[next_lease_] = {life, world_.events.now() + life};
-    respond({200, Json{{"hold", next_lease_++}}.dump(), 0});
-    return;
-  }
-  if (path.starts_with("/grants/")) {
-    const std::uint64_t id = std::stoull(path.substr(8));
-    const auto it = leases_.find(id);
-    if (it == leases_.end()) {
-      respond({404, "{}", 0});
-      return;
-    }
-    if (request.method == "DELETE") {
-      it->second.ends = -1;
-      expire();
-    } else {
-      it->second.ends = world_.events.now() + it->second.life;
+}
+
+Response FakeKeyValueStore::get(const std::string& key) const {
+  const auto it = entries_.find(key);
+  if (it == entries_.end()) return {404, Json{{"ledger", revision_}}.dump()};
+  const Json found{{"k", it->first}, {"data", it->second.data}, {"mark", it->second.revision}};
+  return {200, found.dump()};
+}
+
+bool FakeKeyValueStore::has_keys(const std::string& prefix) const {
+  const auto it = entries_.lower_bound(prefix);
+  return it != entries_.end() && it->first.starts_with(prefix);
+}
+
+Response FakeKeyValueStore::list(const std::string& query) const {
+  const std::string prefix = parameter(query, "starts");
+  const std::string since = parameter(query, "since");
+  const std::string requested = parameter(query, "limit");
+  const size_t limit =
+      requested.empty() ? kPageSize : std::min<size_t>(std::stoul(requested), kPageSize);
+  Json pairs = Json::array();
+  bool more = false;
+  for (auto it = entries_.upper_bound(since.empty() ? prefix : since); it != entries_.end(); ++it) {
+    if (!it->first.starts_with(prefix)) break;
+    if (pairs.size() >= limit) {
+      more = true;
+      break;
     }
-    respond({200, Json{{"hold", id}}.dump(), 0});
-    return;
+    pairs.push_back({{"k", it->first}, {"data", it->second.data}, {"mark", it->second.revision}});
   }
-  respond({400, "{}", 0});
+  return {200, Json{{"pairs", pairs}, {"more", more}, {"ledger", revision_}}.dump()};
 }
 
-void FakeKeyValueStore::set_outage(bool on) {
-  if (on) expire();
-  outage_ = on;
-  if (on) return;
-  for (auto& [id, lease] : leases_) lease.ends = world_.events.now() + lease.life;
-  changed();
+// ---------------------------------------------------------------- leases
+
+Response FakeKeyValueStore::grant_lease(const Request& request) {
+  const double time_to_live = Json::parse(request.body).at("lifeMs").get<double>() / 1000;
+  leases_[next_lease_] = {time_to_live, world_.events.now() + time_to_live};
+  return {200, Json{{"hold", next_lease_++}}.dump()};
 }
 
-void FakeKeyValueStore::expire() {
+Response FakeKeyValueStore::renew_or_revoke_lease(const Request& request) {
+  const std::uint64_t id = std::stoull(suffix(request.target, "/grants/"));
+  const auto it = leases_.find(id);
+  if (it == leases_.end()) return {404, "{}"};
+  if (request.method == "DELETE") {
+    it->second.expires_at = -1;
+    expire_leases();
+  } else {
+    it->second.expires_at = world_.events.now() + it->second.time_to_live;
+  }
+  return {200, Json{{"hold", id}}.dump()};
+}
+
+void FakeKeyValueStore::set_outage(bool outage) {
+  if (outage) expire_leases();
+  outage_ = outage;
+  if (outage) return;
+  for (auto& [id, lease] : leases_) lease.expires_at = world_.events.now() + lease.time_to_live;
+  notify_watchers();
+}
+
+void FakeKeyValueStore::expire_leases() {
   if (outage_) return;
-  bool any = false;
+  bool any_deleted = false;
   for (auto it = leases_.begin(); it != leases_.end();) {
-    if (it->second.ends > world_.events.now()) {
+    if (it->second.expires_at > world_.events.now()) {
       ++it;
       continue;
     }
     const std::uint64_t id = it->first;
     it = leases_.erase(it);
-    for (auto key = keys_.begin(); key != keys_.end();) {
-      if (key->second.lease != id) {
-        ++key;
-        continue;
-      }
-      changes_.push_back({++revision_, key->first, true, {}});
-      key = keys_.erase(key);
-      any = true;
+    any_deleted = delete_keys_of_lease(id) || any_deleted;
+  }
+  if (any_deleted) notify_watchers();
+}
+
+bool FakeKeyValueStore::delete_keys_of_lease(std::uint64_t lease) {
+  bool any_deleted = false;
+  for (auto it = entries_.begin(); it != entries_.end();) {
+    if (it->second.lease != lease) {
+      ++it;
+      continue;
     }
+    changes_.push_back({++revision_, it->first, true, {}});
+    it = entries_.erase(it);
+    any_deleted = true;
   }
-  if (any) changed();
+  return any_deleted;
 }
 
+// ---------------------------------------------------------------- transactions
+
 Response FakeKeyValueStore::commit(const std::string& body) {
-  const Json json = Json::parse(body);
+  const Json transaction = Json::parse(body);
+  const Json& operations = transaction.at("apply");
   Json failed = Json::array();
-  for (const auto& guard : json.at("guards")) {
-    const auto it = keys_.find(guard.at("k"));
-    const std::uint64_t revision = it == keys_.end() ? 0 : it->second.revision;
-    if (revision != guard.at("mark").get<std::uint64_t>()) failed.push_back(guard.at("k"));
+  for (const auto& precondition : transaction.at("guards")) {
+    const auto it = entries_.find(precondition.at("k"));
+    const std::uint64_t revision = it == entries_.end() ? 0 : it->second.revision;
+    if (revision != precondition.at("mark").get<std::uint64_t>()) {
+      failed.push_back(precondition.at("k"));
+    }
   }
-  const StoreLimits& limits = world_.store_limits;
-  if (static_cast<int>(json.at("apply").size()) > limits.max_transaction_changes ||
-      static_cast<int>(json.at("guards").size()) > 4 * limits.max_transaction_changes ||
-      body.size() > 65536) {
-    ++world_.handle_size_refusal;
-    return {400, R"({"error":"too large"})", 0};
+  if (exceeds_limits(transaction, body.size())) {
+    ++size_refusals;
+    return {400, R"({"error":"too large"})"};
   }
-  for (const auto& item : json.at("apply")) {
+  for (const auto& item : operations) {
     if (!item.contains("write")) continue;
     if (item.at("data").dump().size() > limits.value_kb * 1024) {
-      ++world_.handle_size_refusal;
-      return {400, R"({"error":"value too large"})", 0};
+      ++size_refusals;
+      return {400, R"({"error":"value too large"})"};
     }
     if (item.contains("hold") && !leases_.contains(item.at("hold").get<std::uint64_t>())) {
-      return {400, R"({"error":"no such lease"})", 0};
+      return {400, R"({"error":"no such lease"})"};
     }
   }
-  if (!failed.empty()) return {409, Json{{"failed", failed}, {"ledger", revision_}}.dump(), 0};
-  if (!json.at("apply").empty()) ++revision_;
-  for (const auto& item : json.at("apply")) {
+  if (!failed.empty()) return {409, Json{{"failed", failed}, {"ledger", revision_}}.dump()};
+  apply(operations);
+  return {200, Json{{"ledger", revision_}}.dump()};
+}
+
+bool FakeKeyValueStore::exceeds_limits(const Json& transaction, size_t body_size) const {
+  const auto changes = static_cast<int>(transaction.at("apply").size());
+  const auto preconditions = static_cast<int>(transaction.at("guards").size());
+  return changes > limits.max_transaction_changes ||
+         preconditions > kPreconditionsPerChange * limits.max_transaction_changes ||
+         body_size > kMaxBodyBytes;
+}
+
+void FakeKeyValueStore::apply(const Json& operations) {
+  if (!operations.empty()) ++revision_;
+  for (const auto& item : operations) {
     if (item.contains("drop")) {
       const std::string key = item.at("drop");
-      if (keys_.erase(key) > 0) changes_.push_back({revision_, key, true, {}});
+      if (entries_.erase(key) > 0) changes_.push_back({revision_, key, true, {}});
       continue;
     }
     const std::string key = item.at("write");
-    keys_[key] = {item.at("data"), revision_, item.value("hold", std::uint64_t{0})};
+    entries_[key] = {item.at("data"), revision_, item.value("hold", std::uint64_t{0})};
     changes_.push_back({revision_, key, false, item.at("data")});
   }
-  return {200, Json{{"ledger", revision_}}.dump(), 0};
 }
 
-Response FakeKeyValueStore::list(const std::string& query) const {
-  const std::string prefix = parameter(query, "starts");
-  const std::string since = parameter(query, "since");
-  // Small pages, so that paging is exercised.
-  const std::string asked = parameter(query, "limit");
-  const size_t limit = asked.empty() ? 20 : std::min<size_t>(std::stoul(asked), 20);
-  Json pairs = Json::array();
-  bool more = false;
-  for (auto it = keys_.upper_bound(since.empty() ? prefix : since); it != keys_.end(); ++it) {
-    if (!it->first.starts_with(prefix)) break;
-    if (pairs.size() >= limit) {
-      more = true;
-      break;
-    }
-    pairs.push_back({{"k", it->first}, {"data", it->second.data}, {"mark", it->second.revision}});
-  }
-  return {200, Json{{"pairs", pairs}, {"more", more}, {"ledger", revision_}}.dump(), 0};
-}
+// ---------------------------------------------------------------- watches
 
 void FakeKeyValueStore::watch(const std::string& query, const std::string& from, Respond respond) {
   auto watcher = std::make_shared<Watcher>();
@@ -170,44 +202,46 @@
   watcher->since = std::stoull(parameter(query, "since"));
   watcher->respond = std::move(respond);
   watcher->from = from;
-  if (answer(*watcher, false)) return;
+  if (answer(*watcher, WhenEmpty::keep_waiting)) return;
   watchers_.push_back(watcher);
-  const Seconds block = std::stod(parameter(query, "blockMs")) / 1000;
-  world_.events.at(world_.events.now() + block, [this, watcher] {
-    expire();
-    if (!watcher->over && !outage_) answer(*watcher, true);
+  const Seconds wait = std::stod(parameter(query, "blockMs")) / 1000;
+  world_.events.schedule_at(world_.events.now() + wait, [this, watcher] {
+    expire_leases();
+    if (!watcher->answered && !outage_) answer(*watcher, WhenEmpty::answer);
   });
 }
 
-bool FakeKeyValueStore::answer(Watcher& watcher, bool anyway) {
-  // The open watches of a node that is refused wait as they do in an outage.
-  if (world_.refused_by_state.contains(watcher.from)) return false;
-  if (const auto it = held_.find(watcher.from);
-      it != held_.end() && it->second > world_.events.now()) {
-    return false;
-  }
+bool FakeKeyValueStore::is_watch_held(const std::string& controller) const {
+  // Open watches of a controller that the store refuses wait as they do in an outage.
+  if (world_.network.refused_by_store.contains(controller)) return true;
+  const auto it = held_watches_.find(controller);
+  return it != held_watches_.end() && it->second > world_.events.now();
+}
+
+bool FakeKeyValueStore::answer(Watcher& watcher, WhenEmpty when_empty) {
+  if (is_watch_held(watcher.from)) return false;
   Json events = Json::array();
   for (const auto& change : changes_) {
     if (change.revision <= watcher.since || !change.key.starts_with(watcher.prefix)) continue;
-    if (change.dropped) {
+    if (change.deleted) {
       events.push_back({{"drop", change.key}, {"mark", change.revision}});
     } else {
       events.push_back({{"write", change.key}, {"data", change.data}, {"mark", change.revision}});
     }
   }
-  if (events.empty() && !anyway) return false;
-  watcher.over = true;
-  watcher.respond({200, Json{{"ledger", revision_}, {"events", events}}.dump(), 0});
+  if (events.empty() && when_empty == WhenEmpty::keep_waiting) return false;
+  watcher.answered = true;
+  watcher.respond({200, Json{{"ledger", revision_}, {"events", events}}.dump()});
   return true;
 }
 
-void FakeKeyValueStore::changed() {
+void FakeKeyValueStore::notify_watchers() {
   if (outage_) return;
-  const auto watchers = watchers_;
+  const auto watchers = watchers_;  // an answer may lead to a new watch
   for (const auto& watcher : watchers) {
-    if (!watcher->over) answer(*watcher, false);
+    if (!watcher->answered) answer(*watcher, WhenEmpty::keep_waiting);
   }
-  std::erase_if(watchers_, [](const auto& watcher) { return watcher->over; });
+  std::erase_if(watchers_, [](const auto& watcher) { return watcher->answered; });
 }
 
 }  // namespace larkroad::sim
--- a/tests/sim/fake_worker.cpp
+++ b/tests/sim/fake_worker.cpp
@@ -1,3 +1,5 @@
+#include "sim/fake_worker.hpp"
+
 #include <algorithm>
 
 #include "sim/world.hpp"
@@ -5,325 +7,377 @@
 namespace larkroad::sim {
 namespace {
 
-TaskId task_id(const std::string& text) {
+constexpr Seconds kHeartbeatTimeout = 4;
+constexpr Seconds kMinHeartbeatInterval = 0.5;
+constexpr Seconds kRetryDelay = 1;
+constexpr Seconds kRedirectDelay = 0.1;
+constexpr Seconds kLeaseCheckInterval = 0.1;
+
+const char* wire_name(FakeWorker::Stage stage) {
+  switch (stage) {
+    case FakeWorker::Stage::fetching:
+      return "fetching";
+    case FakeWorker::Stage::gathering:
+      return "gathering";
+    case FakeWorker::Stage::running:
+      return "running";
+    case FakeWorker::Stage::saving:
+      return "saving";
+    case FakeWorker::Stage::exited:
+      return "exited";
+  }
+  return "";
+}
+
+TaskId parse_task_id(const std::string& text) {
   const auto slash = text.rfind('/');
   return {text.substr(0, slash), static_cast<std::uint32_t>(std::stoul(text.substr(slash + 1)))};
 }
 
 }  // namespace
 
-Worker::Worker(World& world, std::string its_name, std::string its_address, std::string its_type,
-               std::string its_zone, bool is_spot)
-    : name(std::move(its_name)),
-      address(std::move(its_address)),
-      type(std::move(its_type)),
+FakeWorker::FakeWorker(World& world, std::string machine, std::string network_address,
+                       std::string machine_type, std::string its_zone, bool is_spot)
+    : name(std::move(machine)),
+      address(std::move(network_address)),
+      type(std::move(machine_type)),
       zone(std::move(its_zone)),
       spot(is_spot),
       world_(world) {}
 
-void Worker::start() {
-  answered_sent_ = world_.events.now();
-  home_ = static_cast<size_t>(world_.chance() * 3);
-  send_report();
+void FakeWorker::start() {
+  lease_renewed_at_ = world_.events.now();
+  controller_ = static_cast<size_t>(world_.random_fraction() * kControllers);
+  send_heartbeat();
   check_lease();
 }
 
-Json Worker::heartbeat() {
-  Json legs = Json::array();
+bool FakeWorker::is_running(const std::string& job) const {
+  return std::any_of(tasks_.begin(), tasks_.end(), [&](const auto& entry) {
+    return entry.first.first.job == job && entry.second.stage == Stage::running;
+  });
+}
+
+bool FakeWorker::has_live_task(const std::string& job) const {
+  return std::any_of(tasks_.begin(), tasks_.end(), [&](const auto& entry) {
+    return entry.first.first.job == job && entry.second.stage != Stage::exited;
+  });
+}
+
+// ---------------------------------------------------------------- heartbeats
+
+Json FakeWorker::heartbeat() {
+  Json tasks = Json::array();
   for (const auto& [key, task] : tasks_) {
-    Json leg{{"leg", key.first.text()}, {"try", key.second}, {"stage", task.state}};
-    if (task.state == "exited") leg["cause"] = task.cause;
-    if (task.saved) leg["saved"] = true;
-    legs.push_back(std::move(leg));
+    Json status{{"leg", key.first.text()}, {"try", key.second}, {"stage", wire_name(task.stage)}};
+    if (task.stage == Stage::exited) status["cause"] = task.exit_cause;
+    if (task.checkpointed) status["saved"] = true;
+    tasks.push_back(std::move(status));
   }
-  Json out{{"perch", name},   {"address", address},      {"breed", type},
-           {"yard", zone},    {"loaners", spot},         {"flight", session_},
-           {"tick", ++tick_}, {"baton", fencing_token_}, {"legs", legs}};
-  out["recallS"] = taken_at_ >= 0 ? Json(taken_at_ - world_.events.now()) : Json(nullptr);
+  Json out{{"perch", name},       {"address", address},      {"breed", type},
+           {"yard", zone},        {"loaners", spot},         {"flight", incarnation_},
+           {"tick", ++sequence_}, {"baton", fencing_token_}, {"legs", tasks}};
+  out["recallS"] = reclaimed_at_ ? Json(*reclaimed_at_ - world_.events.now()) : Json(nullptr);
   return out;
 }
 
-void Worker::changed() {
-  if (gone) return;
-  if (in_flight_) {
-    again_ = true;
+void FakeWorker::report_change() {
+  if (terminated) return;
+  if (heartbeat_in_flight_) {
+    changed_since_heartbeat_ = true;
     return;
   }
-  world_.events.cancel(next_report_);
-  next_report_ = world_.events.at(std::max(world_.events.now(), reported_at_ + 0.5),
-                                  [this] { send_report(); });
+  const Seconds now = world_.events.now();
+  const Seconds earliest = last_heartbeat_at_ ? *last_heartbeat_at_ + kMinHeartbeatInterval : now;
+  world_.events.cancel(next_heartbeat_);
+  next_heartbeat_ =
+      world_.events.schedule_at(std::max(now, earliest), [this] { send_heartbeat(); });
 }
 
-void Worker::send_report() {
-  if (gone || in_flight_) return;
-  if (hung_until_ > world_.events.now()) {
-    when_awake([this] { send_report(); });
+void FakeWorker::send_heartbeat() {
+  if (terminated || heartbeat_in_flight_) return;
+  if (is_hung()) {
+    when_awake([this] { send_heartbeat(); });
     return;
   }
-  in_flight_ = true;
-  again_ = false;
-  const Seconds sent = reported_at_ = world_.events.now();
-  const std::uint64_t incarnation = session_;
-  const std::string target = "10.0.0." + std::to_string(home_ + 1) + ":8080";
-  world_.send(
-      name, target, {"POST", "/checkin", heartbeat().dump()}, 4,
-      [this, sent, incarnation](Outcome outcome, const Response& response) {
-        in_flight_ = false;
-        if (gone) return;
-        Seconds next = world_.settings.heartbeat_interval_s * (0.75 + world_.chance() / 2);
-        if (outcome == Outcome::answered && response.status == 200) {
-          const Json json = Json::parse(response.body);
-          const std::uint64_t fencing_token = json.value("baton", std::uint64_t{0});
-          if (incarnation == session_ && fencing_token >= fencing_token_) {
-            if (fencing_token > fencing_token_) {
-              fencing_token_ = fencing_token;
-              again_ = true;
-            }
-            answered_sent_ = sent;
-            carry_out(json.at("calls"));
-          }
-        } else if (outcome == Outcome::answered && response.status == 421) {
-          const std::string home = Json::parse(response.body).value("home", "");
-          if (home.starts_with("node-") && home != "node-" + std::to_string(home_)) {
-            home_ = static_cast<size_t>(home.back() - '0');
-            next = 0.1;
-          } else {
-            home_ = (home_ + 1) % 3;
-            next = 1;
-          }
-        } else {
-          home_ = (home_ + 1) % 3;
-          next = 1;
-        }
-        if (again_) next = std::min(next, 0.5);
-        next_report_ = world_.events.at(world_.events.now() + next, [this] { send_report(); });
+  heartbeat_in_flight_ = true;
+  changed_since_heartbeat_ = false;
+  const Seconds sent = world_.events.now();
+  last_heartbeat_at_ = sent;
+  Request request{"POST", protocol::kHeartbeatPath, heartbeat().dump()};
+  world_.network.send(
+      name, controller_address(controller_) + kClientPort, std::move(request), kHeartbeatTimeout,
+      [this, sent, incarnation = incarnation_](Outcome outcome, const Response& response) {
+        heartbeat_in_flight_ = false;
+        if (terminated) return;
+        Seconds delay = on_heartbeat_reply(sent, incarnation, outcome, response);
+        if (changed_since_heartbeat_) delay = std::min(delay, kMinHeartbeatInterval);
+        next_heartbeat_ =
+            world_.events.schedule_at(world_.events.now() + delay, [this] { send_heartbeat(); });
       },
       std::make_shared<bool>(true));
 }
 
-void Worker::when_awake(std::function<void()> fn) {
-  if (hung_until_ <= world_.events.now()) {
-    fn();
-  } else {
-    world_.events.at(hung_until_,
-                     [self = shared_from_this(), fn = std::move(fn)] { self->when_awake(fn); });
+Seconds FakeWorker::on_heartbeat_reply(Seconds sent, std::uint64_t incarnation, Outcome outcome,
+                                       const Response& response) {
+  const Seconds interval =
+      world_.settings.heartbeat_interval_s * (0.75 + world_.random_fraction() / 2);
+  if (outcome != Outcome::answered) return try_next_controller();
+  if (response.status == 421) return on_redirect(response);
+  if (response.status != 200) return try_next_controller();
+  on_heartbeat_accepted(sent, incarnation, Json::parse(response.body));
+  return interval;
+}
+
+void FakeWorker::on_heartbeat_accepted(Seconds sent, std::uint64_t incarnation,
+                                       const Json& answer) {
+  const std::uint64_t fencing_token = answer.value("baton", std::uint64_t{0});
+  if (incarnation != incarnation_ || fencing_token < fencing_token_) return;
+  if (fencing_token > fencing_token_) {
+    fencing_token_ = fencing_token;
+    changed_since_heartbeat_ = true;
   }
+  lease_renewed_at_ = sent;
+  execute(answer.at("calls"));
 }
 
-void Worker::hang(Seconds length) {
-  if (gone || hung_until_ > world_.events.now()) return;
-  hung_until_ = world_.events.now() + length;
-  world_.checker.hangs(name, true);
-  for (const auto& [key, task] : tasks_) {
-    if (task.state == "running") world_.gang_lost(key.first.job, key.second);
+Seconds FakeWorker::on_redirect(const Response& response) {
+  const std::string target = Json::parse(response.body).value("home", "");
+  if (!is_controller(target) || target == controller_name(controller_)) {
+    return try_next_controller();
   }
-  world_.events.at(hung_until_,
-                   [self = shared_from_this()] { self->world_.checker.hangs(self->name, false); });
+  controller_ = controller_index(target);
+  return kRedirectDelay;
 }
 
-void Worker::handle(const Request& request, Respond respond) {
-  if (hung_until_ > world_.events.now()) {
+Seconds FakeWorker::try_next_controller() {
+  controller_ = (controller_ + 1) % kControllers;
+  return kRetryDelay;
+}
+
+// ---------------------------------------------------------------- commands
+
+void FakeWorker::handle(const Request& request, Respond respond) {
+  if (is_hung()) {
     when_awake([self = shared_from_this(), request, respond] {
-      if (!self->gone) self->handle(request, respond);
+      if (!self->terminated) self->handle(request, respond);
     });
     return;
   }
   if (request.target == "/inspect") {
-    respond({200, heartbeat().dump(), 0});
+    respond({200, heartbeat().dump()});
     return;
   }
-  const Json json = Json::parse(request.body);
-  const std::uint64_t fencing_token = json.at("baton");
-  if (fencing_token < fencing_token_ || json.at("flight").get<std::uint64_t>() != session_) {
-    respond({409, heartbeat().dump(), 0});
+  const Json commands = Json::parse(request.body);
+  const std::uint64_t fencing_token = commands.at("baton");
+  const auto incarnation = commands.at("flight").get<std::uint64_t>();
+  if (fencing_token < fencing_token_ || incarnation != incarnation_) {
+    respond({409, heartbeat().dump()});
     return;
   }
   fencing_token_ = fencing_token;
-  carry_out(json.at("calls"));
-  respond({200, heartbeat().dump(), 0});
+  execute(commands.at("calls"));
+  respond({200, heartbeat().dump()});
 }
 
-void Worker::carry_out(const Json& calls) {
-  for (const auto& call : calls) {
-    const Key key{task_id(call.at("leg")), call.at("try").get<std::uint64_t>()};
-    const std::string op = call.at("call");
-    if (op == "launch") {
+void FakeWorker::execute(const Json& commands) {
+  for (const auto& command : commands) {
+    const Key key{parse_task_id(command.at("leg")), command.at("try").get<std::uint64_t>()};
+    const std::string operation = command.at("call");
+    if (operation == "launch") {
       launch(key.first, key.second);
-    } else if (op == "kill") {
-      kill(key, call.value("slackS", 0.0));
+    } else if (operation == "kill") {
+      stop(key, command.value("slackS", 0.0));
     } else {
       const auto it = tasks_.find(key);
-      if (it != tasks_.end() && it->second.state == "exited") tasks_.erase(it);
+      if (it != tasks_.end() && it->second.stage == Stage::exited) tasks_.erase(it);
     }
   }
 }
 
-void Worker::launch(const TaskId& id, std::uint64_t attempt) {
-  const Key key{id, attempt};
-  if (tasks_.contains(key)) return;
-  const JobSpec* spec = world_.spec(id.job);
+std::optional<std::string> FakeWorker::launch_error(const TaskId& id) const {
+  const JobSpec* spec = world_.users.spec(id.job);
+  if (spec == nullptr) return "unknown";
   coordination::Resources used;
-  bool busy = false;
   for (const auto& [other, task] : tasks_) {
-    if (task.state == "exited") continue;
-    busy = busy || other.first == id;
-    used += coordination::needs_of(*world_.spec(other.first.job));
-  }
-  Task& task = tasks_[key];
-  task.state = "fetching";
-  task.serial = ++serial_;
-  if (spec == nullptr) {
-    exit(key, "unknown");
-    return;
-  }
-  if (busy) {
-    exit(key, "busy");
-    return;
+    if (task.stage == Stage::exited) continue;
+    if (other.first == id) return "busy";
+    used += coordination::needs_of(*world_.users.spec(other.first.job));
   }
   used += coordination::needs_of(*spec);
-  for (const auto& t : testing::types()) {
-    if (t.name == type && !coordination::capacity_of(t).fits(used)) {
-      exit(key, "full");
-      return;
+  for (const auto& machine_type : testing::types()) {
+    if (machine_type.name == type && !coordination::capacity_of(machine_type).fits(used)) {
+      return "full";
     }
   }
-  changed();
-  world_.events.at(world_.events.now() + world_.troubles.fetch,
-                   [this, key, serial = task.serial] { has_image(key, serial); });
+  return std::nullopt;
 }
 
-void Worker::has_image(const Key& key, std::uint64_t serial) {
-  if (hung_until_ > world_.events.now()) {
-    when_awake([this, key, serial] { has_image(key, serial); });
-    return;
-  }
-  const auto it = tasks_.find(key);
-  if (gone || it == tasks_.end() || it->second.serial != serial || it->second.state != "fetching") {
+void FakeWorker::launch(const TaskId& id, std::uint64_t attempt) {
+  const Key key{id, attempt};
+  if (tasks_.contains(key)) return;
+  const auto error = launch_error(id);
+  tasks_[key].launch_number = ++launches_;
+  if (error) {
+    exit(key, *error);
     return;
   }
-  it->second.on = true;
-  world_.checker.starts(world_.events.now(), key.first, {name, type, zone, spot});
-  world_.starts_[key.first.job].emplace_back(world_.events.now(), key.first.task);
-  if (faulty_ || world_.faulty_jobs.contains(key.first.job)) {
-    world_.failures[key.first.job].push_back(world_.events.now());
+  report_change();
+  schedule_for_task(world_.events.now() + world_.faults.image_fetch_time, key, Stage::fetching,
+                    [this, key] { on_image_fetched(key); });
+}
+
+void FakeWorker::on_image_fetched(const Key& key) {
+  const TaskId& id = key.first;
+  tasks_.at(key).counted = true;
+  world_.invariants.task_started(world_.events.now(), id, {name, type, zone, spot});
+  world_.tasks.record_start(id);
+  if (faulty_ || world_.tasks.faulty_jobs.contains(id.job)) {
+    world_.tasks.failures[id.job].push_back(world_.events.now());
     exit(key, "error");
-    return;
-  }
-  if (world_.results[key.first.job].contains(key.first.task)) {
+  } else if (world_.tasks.is_completed(id)) {
     exit(key, "done");
-    return;
+  } else if (const JobSpec& spec = *world_.users.spec(id.job); spec.is_gang() && spec.tasks > 1) {
+    gather(key);
+  } else {
+    run(key);
   }
-  const JobSpec& spec = *world_.spec(key.first.job);
-  if (spec.is_gang() && spec.tasks > 1) {
-    it->second.state = "gathering";
-    world_.events.at(world_.events.now() + world_.settings.gang_wait_s, [this, key, serial] {
-      const auto task = tasks_.find(key);
-      if (task != tasks_.end() && task->second.serial == serial &&
-          task->second.state == "gathering") {
-        exit(key, "alone");
-      }
-    });
-    changed();
-    world_.gang_ready(key.first.job, key.second);
+}
+
+void FakeWorker::gather(const Key& key) {
+  Task& task = tasks_.at(key);
+  task.stage = Stage::gathering;
+  world_.events.schedule_at(world_.events.now() + world_.settings.gang_wait_s,
+                            [this, key, launch_number = task.launch_number] {
+                              if (find_task(key, launch_number, Stage::gathering) != nullptr) {
+                                exit(key, "alone");
+                              }
+                            });
+  report_change();
+  world_.tasks.start_gang_if_complete(key.first.job, key.second);
+}
+
+void FakeWorker::run(const Key& key) {
+  tasks_.at(key).stage = Stage::running;
+  report_change();
+  const JobSpec& spec = *world_.users.spec(key.first.job);
+  if (spec.is_service()) return;  // until it is stopped
+  schedule_for_task(world_.events.now() + spec.estimate_s, key, Stage::running,
+                    [this, key] { world_.tasks.complete(key.first, key.second); });
+}
+
+void FakeWorker::stop(const Key& key, double grace_period) {
+  const auto it = tasks_.find(key);
+  if (it == tasks_.end() || it->second.stage == Stage::exited) return;
+  const JobSpec& spec = *world_.users.spec(key.first.job);
+  if (it->second.stage == Stage::running && spec.checkpoint_s > 0 && grace_period >= spec.save_s) {
+    it->second.stage = Stage::saving;
+    report_change();
+    schedule_for_task(world_.events.now() + spec.save_s, key, Stage::saving,
+                      [this, key] { exit(key, "stopped", true); });
     return;
   }
-  run(key);
+  if (it->second.stage == Stage::saving && grace_period > 0) return;
+  exit(key, "stopped");
 }
 
-void Worker::run(const Key& key) {
+void FakeWorker::exit(const Key& key, const std::string& cause, bool checkpointed) {
   Task& task = tasks_.at(key);
-  task.state = "running";
-  changed();
-  if (world_.spec(key.first.job)->is_service()) return;  // until it is stopped
-  const Seconds takes = world_.spec(key.first.job)->estimate_s;
-  world_.events.at(world_.events.now() + takes, [this, key, serial = task.serial] {
-    when_awake([this, key, serial] {
-      const auto it = tasks_.find(key);
-      if (gone || it == tasks_.end() || it->second.serial != serial ||
-          it->second.state != "running") {
-        return;
-      }
-      world_.complete(key.first, key.second);
-    });
-  });
+  if (task.counted) world_.invariants.task_left_machine(key.first, name);
+  const bool left_gang = task.stage == Stage::running && cause != "done" && cause != "mates_gone";
+  task.counted = false;
+  task.stage = Stage::exited;
+  task.exit_cause = cause;
+  task.checkpointed = checkpointed;
+  report_change();
+  if (left_gang) world_.tasks.on_gang_member_lost(key.first.job, key.second);
 }
 
-void Worker::kill(const Key& key, double slack) {
+FakeWorker::Task* FakeWorker::find_task(const Key& key, std::uint64_t launch_number, Stage stage) {
   const auto it = tasks_.find(key);
-  if (it == tasks_.end() || it->second.state == "exited") return;
-  const JobSpec& spec = *world_.spec(key.first.job);
-  if (it->second.state == "running" && spec.checkpoint_s > 0 && slack >= spec.save_s) {
-    it->second.state = "saving";
-    changed();
-    world_.events.at(world_.events.now() + spec.save_s, [this, key, serial = it->second.serial] {
-      when_awake([this, key, serial] {
-        const auto task = tasks_.find(key);
-        if (!gone && task != tasks_.end() && task->second.serial == serial &&
-            task->second.state == "saving") {
-          exit(key, "stopped", true);
-        }
-      });
+  if (terminated || it == tasks_.end()) return nullptr;
+  Task& task = it->second;
+  return task.launch_number == launch_number && task.stage == stage ? &task : nullptr;
+}
+
+void FakeWorker::schedule_for_task(Seconds when, const Key& key, Stage stage,
+                                   std::function<void()> action) {
+  const std::uint64_t launch_number = tasks_.at(key).launch_number;
+  world_.events.schedule_at(when, [this, key, launch_number, stage, action = std::move(action)] {
+    when_awake([this, key, launch_number, stage, action] {
+      if (find_task(key, launch_number, stage) != nullptr) action();
     });
+  });
+}
+
+// ---------------------------------------------------------------- the machine
+
+bool FakeWorker::is_hung() const { return hung_until_ > world_.events.now(); }
+
+void FakeWorker::when_awake(std::function<void()> action) {
+  if (!is_hung()) {
+    action();
     return;
   }
-  if (it->second.state == "saving" && slack > 0) return;
-  exit(key, "stopped");
+  world_.events.schedule_at(hung_until_, [self = shared_from_this(), action = std::move(action)] {
+    self->when_awake(action);
+  });
 }
 
-void Worker::exit(const Key& key, const std::string& cause, bool saved) {
-  Task& task = tasks_.at(key);
-  if (task.on) world_.checker.leaves(key.first, name);
-  const bool left_gang = task.state == "running" && cause != "done" && cause != "mates_gone";
-  task.on = false;
-  task.state = "exited";
-  task.cause = cause;
-  task.saved = saved;
-  changed();
-  if (left_gang) world_.gang_lost(key.first.job, key.second);
-}
-
-void Worker::end_all() {
-  const auto tasks = tasks_;
-  tasks_.clear();
+void FakeWorker::hang(Seconds length) {
+  if (terminated || is_hung()) return;
+  hung_until_ = world_.events.now() + length;
+  world_.invariants.set_hung(name, true);
+  for (const auto& [key, task] : tasks_) {
+    if (task.stage == Stage::running) world_.tasks.on_gang_member_lost(key.first.job, key.second);
+  }
+  world_.events.schedule_at(hung_until_, [self = shared_from_this()] {
+    self->world_.invariants.set_hung(self->name, false);
+  });
+}
+
+void FakeWorker::end_all_tasks() {
+  const auto tasks = std::exchange(tasks_, {});
   for (const auto& [key, task] : tasks) {
-    if (task.on) world_.checker.leaves(key.first, name);
-    if (task.state == "running") world_.gang_lost(key.first.job, key.second);
+    if (task.counted) world_.invariants.task_left_machine(key.first, name);
+    if (task.stage == Stage::running) world_.tasks.on_gang_member_lost(key.first.job, key.second);
   }
 }
 
-void Worker::end_lease() {
-  if (world_.events.now() - answered_sent_ <= world_.settings.lease_s) return;
-  end_all();
-  ++session_;
-  answered_sent_ = world_.events.now();
-  changed();
+void FakeWorker::begin_incarnation() {
+  end_all_tasks();
+  ++incarnation_;
+  lease_renewed_at_ = world_.events.now();
+  report_change();
+}
+
+void FakeWorker::end_expired_lease() {
+  if (world_.events.now() - lease_renewed_at_ > world_.settings.lease_s) begin_incarnation();
 }
 
-void Worker::check_lease() {
-  if (gone) return;
-  end_lease();  // what hangs beyond its lease ends everything as it wakes, before anything runs
-  world_.events.at(world_.events.now() + 0.1, [this] { check_lease(); });
+void FakeWorker::check_lease() {
+  if (terminated) return;
+  // One that hung beyond its lease ends everything as it wakes, before anything runs.
+  end_expired_lease();
+  world_.events.schedule_at(world_.events.now() + kLeaseCheckInterval, [this] { check_lease(); });
 }
 
-void Worker::vanish() {
-  if (gone) return;
-  end_all();
-  gone = true;
+void FakeWorker::terminate() {
+  if (terminated) return;
+  end_all_tasks();
+  terminated = true;
 }
 
-void Worker::restart() {
-  if (gone) return;
-  end_all();
-  ++session_;
-  fencing_token_ = 0;  // all it knew is gone
-  answered_sent_ = world_.events.now();
-  changed();
+void FakeWorker::restart() {
+  if (terminated) return;
+  fencing_token_ = 0;  // nothing survives the process
+  begin_incarnation();
 }
 
-void Worker::notice(Seconds in) {
-  taken_at_ = world_.events.now() + in;
-  changed();
-  world_.events.at(taken_at_, [this] { vanish(); });
+void FakeWorker::reclaim_in(Seconds notice) {
+  reclaimed_at_ = world_.events.now() + notice;
+  report_change();
+  world_.events.schedule_at(*reclaimed_at_, [this] { terminate(); });
 }
 
 }  // namespace larkroad::sim
--- a/tests/sim/scenario.hpp
+++ b/tests/sim/scenario.hpp
@@ -1,4 +1,4 @@
-// A whole run with troubles at set times, and what must hold of every one of them.
+/// A whole simulated run with faults at set times, and what must hold of every one of them.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -13,9 +13,12 @@
 namespace larkroad::sim {
 
 struct Scenario {
+  /// Stays the same for good: digests of runs are compared by it.
   const char* name;
-  Troubles troubles;
-  std::function<void(World&)> plan;
+  /// Faults all through the run.
+  FaultOptions faults;
+  /// Schedules jobs and faults before the run begins.
+  std::function<void(World&)> schedule;
   int random_jobs = 60;
 };
 
@@ -23,25 +26,33 @@
   return out << scenario.name;
 }
 
-inline std::string node(size_t i) { return "node-" + std::to_string(i); }
+/// No scenario has faults for longer.
+constexpr Seconds kFaultsEnd = 160;
+constexpr Seconds kScenarioLength = 450;
 
-// Fails for every broken rule.
-void expect_no_breach(const World& world);
+/// Fails for each violation of a rule.
+void expect_no_violations(const World& world);
 
-// Something done to whoever leads at that time.
-void to_leader(World& world, Seconds when, std::function<void(size_t)> fn);
+/// Acts at that time on the controller that leads then, if one does.
+void with_leader(World& world, Seconds when, std::function<void(size_t leader)> action);
 
-constexpr Seconds kScenarioLength = 450;
+/// Acts on each machine with that probability.
+void for_random_workers(World& world, double probability,
+                        const std::function<void(FakeWorker&)>& action);
+
+/// Partitions the machine from every controller.
+void partition_machine(World& world, const std::string& machine, Seconds length);
 
-// Plays the scenario in a new world, from the start to its end.
-void play(World& world, const Scenario& scenario);
+/// Plays the scenario in a new world, from the start to its end.
+void run_scenario(World& world, const Scenario& scenario);
 
-// Plays it and fails for every broken rule and for a job that is not over in the end.
-void keeps_the_rules(const Scenario& scenario, std::uint64_t seed);
+/// Plays it and fails for each violation of a rule and for a job that is not over in the end.
+void run_and_verify(const Scenario& scenario, std::uint64_t seed);
 
-// The tables of sim_test.cpp, meetings_test.cpp, services_test.cpp and upgrade_test.cpp.
-std::span<const Scenario> single_trouble_scenarios();
-std::span<const Scenario> meeting_scenarios();
+/// Scenarios of the tests, which other programs can play as well.
+std::span<const Scenario> single_fault_scenarios();
+std::span<const Scenario> relay_scenarios();
+std::span<const Scenario> combined_failure_scenarios();
 std::span<const Scenario> service_scenarios();
 std::span<const Scenario> upgrade_scenarios();
 
--- a/tests/store_relay_test.cpp
+++ b/tests/store_relay_test.cpp
@@ -20,14 +20,14 @@
 class ZonesApart : public ::testing::Test {
  protected:
   ZonesApart() : world(1, {}) {
-    world.submit(in_zone("job-1", "east", 200), 2);
-    world.submit(in_zone("job-2", "west", 200), 2);
+    world.users.submit(in_zone("job-1", "east", 200), 2);
+    world.users.submit(in_zone("job-2", "west", 200), 2);
   }
   void cut(Seconds length) {
     world.run(30);
-    ASSERT_EQ(world.running_tasks("job-1"), 4u);
-    ASSERT_EQ(world.running_tasks("job-2"), 4u);
-    world.cut_zones(length);
+    ASSERT_EQ(world.tasks.running_tasks("job-1"), 4u);
+    ASSERT_EQ(world.tasks.running_tasks("job-2"), 4u);
+    world.network.partition_zones(length);
   }
   World world;
 };
@@ -35,23 +35,23 @@
 TEST_F(ZonesApart, WhatRunsInTheOtherZoneGoesOn) {
   cut(36);
   world.run(66);
-  EXPECT_EQ(world.starts_of("job-1").size(), 4u);
-  EXPECT_EQ(world.starts_of("job-2").size(), 4u);
-  EXPECT_EQ(world.running_tasks("job-1") + world.running_tasks("job-2"), 8u);
+  EXPECT_EQ(world.tasks.starts_of("job-1").size(), 4u);
+  EXPECT_EQ(world.tasks.starts_of("job-2").size(), 4u);
+  EXPECT_EQ(world.tasks.running_tasks("job-1") + world.tasks.running_tasks("job-2"), 8u);
   world.run(400);
-  EXPECT_TRUE(world.all_over()) << world.unfinished();
-  expect_no_breach(world);
+  EXPECT_TRUE(world.users.all_jobs_finished()) << world.users.unfinished_jobs();
+  expect_no_violations(world);
 }
 
 // The rules give it `cancellation_limit_s`; the leader's answers bring it within a few reports.
 TEST_F(ZonesApart, ACancellationReachesTheOtherZone) {
   cut(40);
   world.run(45);
-  world.cancel("job-1");
-  world.cancel("job-2");
+  world.users.cancel("job-1");
+  world.users.cancel("job-2");
   world.run(45 + 4 * world.settings.heartbeat_interval_s);
-  EXPECT_EQ(world.running_tasks("job-1") + world.running_tasks("job-2"), 0u);
-  expect_no_breach(world);
+  EXPECT_EQ(world.tasks.running_tasks("job-1") + world.tasks.running_tasks("job-2"), 0u);
+  expect_no_violations(world);
 }
 
 TEST_F(ZonesApart, WorkStartsInTheOtherZoneOnceItsMachinesAreHeard) {
@@ -61,12 +61,12 @@
   JobSpec west = in_zone("job-4", "west", 5);
   east.tasks = west.tasks = 1;
   east.cpus = west.cpus = 0.5;
-  world.submit(east, 50);
-  world.submit(west, 50);
+  world.users.submit(east, 50);
+  world.users.submit(west, 50);
   world.run(69);
-  EXPECT_EQ(world.starts_of("job-3").size(), 1u);
-  EXPECT_EQ(world.starts_of("job-4").size(), 1u);
-  expect_no_breach(world);
+  EXPECT_EQ(world.tasks.starts_of("job-3").size(), 1u);
+  EXPECT_EQ(world.tasks.starts_of("job-4").size(), 1u);
+  expect_no_violations(world);
 }
 
 // A leader of the first version looks for no batches: its relays must not hold workers for it.
@@ -74,58 +74,79 @@
   for (size_t i = 0; i < 3; ++i) world.run_first_version(i);
   world.run(5);
   for (size_t i = 0; i < 3; ++i) {
-    if (i != world.leader()) world.upgrade(i, 0.5);
+    if (i != world.leader()) world.upgrade_controller(i, 0.5);
   }
   cut(30);
   world.run(60);
-  EXPECT_FALSE(world.has_keys("q/"));
+  EXPECT_FALSE(world.store.has_keys("q/"));
   // Which shows what the cut costs without.
   world.run(100);
-  EXPECT_GT(world.starts_of("job-1").size() + world.starts_of("job-2").size(), 8u);
+  EXPECT_GT(world.tasks.starts_of("job-1").size() + world.tasks.starts_of("job-2").size(), 8u);
   world.run(500);
-  EXPECT_TRUE(world.all_over()) << world.unfinished();
-  expect_no_breach(world);
+  EXPECT_TRUE(world.users.all_jobs_finished()) << world.users.unfinished_jobs();
+  expect_no_violations(world);
 }
 
 const Scenario kCuts[] = {
     {"again_and_again",
-     {0.005, 0.005, 20, 0.2},
-     [](World& w) {
+     {.lost_responses = 0.005,
+      .delayed_requests = 0.005,
+      .max_request_delay = 20,
+      .cancelled_jobs = 0.2},
+     [](World& world) {
        for (const Seconds when : {25, 50, 75, 100, 125}) {
-         w.events.at(when, [&w] { w.cut_zones(4 + 18 * w.chance()); });
+         world.events.schedule_at(
+             when, [&world] { world.network.partition_zones(4 + 18 * world.random_fraction()); });
        }
      }},
     {"while_leaders_change",
-     {0.005, 0.005, 20, 0.2},
-     [](World& w) {
+     {.lost_responses = 0.005,
+      .delayed_requests = 0.005,
+      .max_request_delay = 20,
+      .cancelled_jobs = 0.2},
+     [](World& world) {
        for (const Seconds when : {25, 60, 95, 125}) {
-         w.events.at(when, [&w] { w.cut_zones(24); });
-         to_leader(w, when + 8, [&w](size_t i) { w.kill(i, 0.2 + 4 * w.chance()); });
-         w.events.at(when + 14, [&w] { w.cancel_now(4, 6 * w.chance()); });
+         world.events.schedule_at(when, [&world] { world.network.partition_zones(24); });
+         with_leader(world, when + 8, [&world](size_t leader) {
+           world.crash(leader, 0.2 + 4 * world.random_fraction());
+         });
+         world.events.schedule_at(when + 14, [&world] {
+           world.users.cancel_running_jobs(4, 6 * world.random_fraction());
+         });
        }
      }},
     {"while_the_state_service_is_late_and_out",
-     {0.01, 0.02, 20, 0.2},
-     [](World& w) {
+     {.lost_responses = 0.01,
+      .delayed_requests = 0.02,
+      .max_request_delay = 20,
+      .cancelled_jobs = 0.2},
+     [](World& world) {
        for (const Seconds when : {25, 60, 95, 125}) {
-         w.events.at(when, [&w] { w.cut_zones(26); });
-         w.events.at(when + 6, [&w] { w.state.set_outage(true); });
-         w.events.at(when + 11, [&w] { w.state.set_outage(false); });
-         to_leader(w, when + 15,
-                   [&w](size_t i) { w.state.hold_watches(node(i), w.events.now() + 8); });
-         w.events.at(when + 16, [&w] { w.cancel_now(3); });
+         world.events.schedule_at(when, [&world] { world.network.partition_zones(26); });
+         world.events.schedule_at(when + 6, [&world] { world.store.set_outage(true); });
+         world.events.schedule_at(when + 11, [&world] { world.store.set_outage(false); });
+         with_leader(world, when + 15, [&world](size_t leader) {
+           world.store.hold_watches(controller_name(leader), world.events.now() + 8);
+         });
+         world.events.schedule_at(when + 16, [&world] { world.users.cancel_running_jobs(3); });
        }
      }},
     {"with_copies_of_reports_and_lost_machines",
-     {0.005, 0.01, 20, 0.2, 0.2, 0, 20, 0, 1, 0.1},
-     [](World& w) {
+     {.lost_responses = 0.005,
+      .delayed_requests = 0.01,
+      .max_request_delay = 20,
+      .cancelled_jobs = 0.2,
+      .duplicated_heartbeats = 0.2,
+      .sockets = 20,
+      .duplicated_commands = 0.1},
+     [](World& world) {
        for (const Seconds when : {25, 55, 85, 115}) {
-         w.events.at(when, [&w] { w.cut_zones(22); });
-         w.events.at(when + 9, [&w] {
-           for (const auto& worker : w.workers) {
-             if (worker->gone || w.chance() > 0.2) continue;
-             if (w.chance() < 0.5) {
-               worker->vanish();
+         world.events.schedule_at(when, [&world] { world.network.partition_zones(22); });
+         world.events.schedule_at(when + 9, [&world] {
+           for (const auto& worker : world.workers) {
+             if (worker->terminated || world.random_fraction() > 0.2) continue;
+             if (world.random_fraction() < 0.5) {
+               worker->terminate();
              } else {
                worker->restart();
              }
@@ -138,7 +159,7 @@
 class ZoneCuts : public ::testing::TestWithParam<Scenario> {};
 
 TEST_P(ZoneCuts, KeepTheRulesAndFinish) {
-  for (const std::uint64_t seed : {1, 2, 3, 4}) keeps_the_rules(GetParam(), seed);
+  for (const std::uint64_t seed : {1, 2, 3, 4}) run_and_verify(GetParam(), seed);
 }
 
 INSTANTIATE_TEST_SUITE_P(Scenarios, ZoneCuts, ::testing::ValuesIn(kCuts),
