--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -80,23 +80,25 @@
   faults.cancelled_jobs = 0.3;
   World world(seed, faults);
   world.users.submit_random_jobs(60, 90);
-  for (int k = 0; k < 4; ++k)
+  for (int k = 0; k < 4; ++k) {
     with_leader(world, 30 + 25 * k, [&](size_t leader) { world.crash(leader, 2); });
+  }
   world.run(420);
   ASSERT_TRUE(world.users.all_jobs_finished()) << world.users.unfinished_jobs();
   with_leader(world, 421, [&](size_t leader) { world.crash(leader, 2); });
   // The answers that an election needs may be late, too.
   world.run(440);
-  for (Seconds when = 441; when < 480 && world.leader() == 3; ++when) world.run(when);
+  for (Seconds when = 441; when < 480 && world.leader() == kControllers; ++when) world.run(when);
   ASSERT_LT(world.leader(), kControllers);
   ASSERT_FALSE(world.store.has_keys("j/") || world.store.has_keys("p/"));
-  const auto commits =
-      world.network.committed_transactions;  // a copy: nothing below may count as one of the run
-  for (const auto& commit : commits) {
-    const std::string which = kind_of_transaction(Json::parse(commit.second.body));
+  // A copy: no transaction below may count as one of the run.
+  const auto transactions = world.network.committed_transactions;
+  for (const auto& transaction : transactions) {
+    const std::string which = kind_of_transaction(Json::parse(transaction.second.body));
     ++seen[which];
-    const int status = world.replay_commit(commit);
-    // The leader's key goes with its lease: without it the write is refused before its guards.
+    const int status = world.replay_commit(transaction);
+    // The leader's key goes with its lease: without it the write is refused before its
+    // preconditions.
     const bool leased = which == "leader key" || which == "raised token";
     EXPECT_TRUE(status == 409 || (leased && status == 400)) << which << ": " << status;
   }
