--- /dev/null
+++ b/src/coordination/election/leadership.hpp
@@ -0,0 +1,40 @@
+/// The view that the parts of the leader have of the election.
+#pragma once
+
+#include <cstdint>
+#include <string>
+
+#include "coordination/election/election.hpp"
+
+namespace larkroad::coordination {
+
+/// What a part of the leader may ask of, and tell to, the election. A test puts its own in place.
+class Leadership {
+ public:
+  virtual ~Leadership() = default;
+
+  /// Whether this controller may act as the leader now: neither its lease nor its view of the jobs
+  /// has expired.
+  virtual bool leads() const = 0;
+
+  /// The present fencing token of this term. It grows when the leader raises it.
+  virtual std::uint64_t fencing_token() const = 0;
+
+  /// Gives the term up, to start anew from what is recorded.
+  virtual void resign(const std::string& reason) = 0;
+};
+
+/// The election of this controller.
+class ElectionLeadership final : public Leadership {
+ public:
+  explicit ElectionLeadership(Election& election) : election_(election) {}
+
+  bool leads() const override { return election_.leads(); }
+  std::uint64_t fencing_token() const override { return election_.fencing_token(); }
+  void resign(const std::string& reason) override { election_.resign(reason); }
+
+ private:
+  Election& election_;
+};
+
+}  // namespace larkroad::coordination
--- a/src/coordination/leader/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -7,6 +7,8 @@
 namespace larkroad::coordination {
 namespace {
 
+// The fleet is looked at this often, as a part of the heartbeat interval.
+constexpr double kScalingRatio = 1.0 / 3;
 // Steady clocks drift apart by 0.05%; twice that is allowed for.
 constexpr double kDrift = 0.001;
 // The room of a planning round for what else the process does: a part of a tick.
@@ -29,12 +31,17 @@
       client_(client),
       store_(store),
       election_(election),
+      leadership_(election),
       catalog_(catalog),
       settings_(settings),
-      scope_(clock),
       transaction_changes_(settings.lasting_store_limits().max_transaction_changes),
+      scope_(clock),
       cluster_(settings),
-      relay_assignment_(settings) {}
+      relay_assignment_(settings),
+      cloud_(clock, client, leadership_, settings, catalog, cluster_, removed_machines_, activity_,
+             {[this](Machine& machine) { inspect(machine); },
+              [this](Machine& machine, const std::string& reason) { all_gone(machine, reason); },
+              [this](const std::string& machine) { machine_removed(machine); }}) {}
 
 void Leader::begin(bool spread) {
   scope_.restart();
@@ -46,17 +53,12 @@
   cluster_.clear();
   cluster_.set_day_offset(clock_.unix_time() - clock_.now());
   gang_reservations_.clear();
-  capacity_backoff_.clear();
+  cloud_.begin_term();
   loaded_placements_.clear();
   loaded_images_.clear();
   recording_images_ = false;
   garbage_.clear();
   finished_.clear();
-  removed_machines_.clear();
-  pending_rentals_.clear();
-  rentals_ = 0;
-  listing_ = false;
-  listed_once_ = false;
   plan_armed_ = false;
   plan_from_ = 0;
   dropping_ = false;
@@ -73,6 +75,7 @@
 
 void Leader::end() {
   scope_.restart();
+  cloud_.end_term();
   ready_ = false;
   loading_ = false;
   cluster_.clear();
@@ -105,9 +108,9 @@
     spdlog::info("machine {} is silent: its lease is over", name);
     end_sessions(machine, machine.incarnation + 1);
   }
-  check_unreachable_machines();
-  relay_assignment_.count(listed_once_ ? std::optional(cluster_.machines().size()) : std::nullopt,
-                          now);
+  cloud_.release_unreachable_machines();
+  relay_assignment_.count(
+      cloud_.has_listed() ? std::optional(cluster_.machines().size()) : std::nullopt, now);
   for (const auto& [id, job] : cluster_.jobs()) {
     if (job->write_in_flight) continue;
     persist(*job);
@@ -127,6 +130,18 @@
   }
 }
 
+void Leader::run_scaling_loop() {
+  scope_.after(settings_.heartbeat_interval_s * kScalingRatio, [this] { run_scaling_loop(); });
+  record_images();
+  log_fleet_usage(cluster_, activity_);
+  cloud_.run_scaling_round();
+}
+
+void Leader::machine_removed(const std::string& machine) {
+  garbage_.push_back(storage::kMachinePrefix + machine);
+  drop_garbage();
+}
+
 void Leader::request_plan() {
   if (plan_armed_ || !ready_) return;
   plan_armed_ = true;
@@ -203,4 +218,13 @@
   job.shards[number].write(now);
 }
 
+std::unordered_map<std::string, UserApi::Progress> Leader::progress() const {
+  std::unordered_map<std::string, UserApi::Progress> out;
+  for (const auto& [id, job] : cluster_.jobs()) {
+    const std::uint32_t running = job->running();
+    if (job->done_count > 0 || running > 0) out[id] = {job->done_count, running};
+  }
+  return out;
+}
+
 }  // namespace larkroad::coordination
--- a/src/coordination/leader/leader.hpp
+++ b/src/coordination/leader/leader.hpp
@@ -12,10 +12,13 @@
 #include "coordination/api/user_api.hpp"
 #include "coordination/cluster_state/cluster_state.hpp"
 #include "coordination/election/election.hpp"
+#include "coordination/election/leadership.hpp"
 #include "coordination/leader/lag_meter.hpp"
 #include "coordination/relay/relay_assignment.hpp"
-#include "coordination/scaling/autoscaler.hpp"
+#include "coordination/scaling/cloud_reconciler.hpp"
+#include "coordination/scaling/fleet_usage.hpp"
 #include "coordination/scaling/machine_catalog.hpp"
+#include "coordination/scaling/removed_machines.hpp"
 #include "coordination/scheduling/scheduler.hpp"
 #include "protocol/relay_messages.hpp"
 #include "protocol/worker_messages.hpp"
@@ -127,10 +130,8 @@
   void want_fence(const UnresolvedLaunch& doubt);
   void suspect_unreachable(Machine& machine);
   void reached_again(Machine& machine);
-  void check_unreachable_machines();
   void end_sessions(Machine& machine, std::uint64_t incarnation);
   void all_gone(Machine& machine, const std::string& why);
-  void remove_machine(const std::string& name, const std::string& why);
   void drain(Machine& machine, double reclaim_notice_s);
 
   // Loops.
@@ -139,19 +140,14 @@
   void make_plan();
   void carry_out(const Assignment& assignment, Seconds start_bound);
   void place_assigned(Job& job, std::uint32_t task, const std::string& machine);
-  void scale();
-  void log_use();
-  void list_machines();
-  void list_page(const std::string& after, Seconds begun);
-  void listed(Seconds begun);
-  void request_machines(const Market& market, int count);
-  void send_rental_request(const protocol::RentalRequest& request);
-  void release_machines(const std::vector<std::string>& names);
+  void run_scaling_loop();
+  void machine_removed(const std::string& machine);
 
   transport::Clock& clock_;
   transport::Client& client_;
   storage::KeyValueClient& store_;
   Election& election_;
+  ElectionLeadership leadership_;
   MachineCatalog& catalog_;
   const Settings& settings_;
 
@@ -166,7 +162,6 @@
   Seconds ready_at_ = 0;
   ClusterState cluster_;
   GangReservations gang_reservations_;
-  CapacityBackoff capacity_backoff_;
   RelayAssignment relay_assignment_;
   std::uint64_t watched_to_ = 0;
   std::vector<storage::Entry> loaded_placements_;
@@ -176,12 +171,6 @@
   std::map<std::string, std::uint64_t> finished_;
   bool dropping_ = false;
   bool recording_images_ = false;
-  std::map<std::string, Seconds> removed_machines_;  // known to be gone, though lists lag
-  std::map<Market, int> pending_rentals_;
-  std::uint64_t rentals_ = 0;
-  bool listing_ = false;
-  bool listed_once_ = false;
-  Seconds catalog_asked_at_ = 0;
   bool plan_armed_ = false;
   size_t plan_from_ = 0;
   Seconds plan_next_ = 0;  // no round before this
@@ -197,16 +186,9 @@
   // How late the loop of ticks runs: what the process is behind with its work.
   LagMeter lag_;
   Seconds next_periodic_run_ = 0;
-  // What the leader did since the last line on the use of the fleet; for that line alone.
-  struct Activity {
-    int planning_rounds = 0;
-    Seconds planning_time = 0;
-    Seconds fleet_time = 0;
-    size_t heartbeats = 0;
-    size_t direct_calls = 0;
-    size_t reported_tasks = 0;
-  };
-  Activity activity_;
+  LeaderActivity activity_;
+  RemovedMachines removed_machines_;
+  CloudReconciler cloud_;
 };
 
 }  // namespace larkroad::coordination
--- a/src/coordination/leader/leader_loading.cpp
+++ b/src/coordination/leader/leader_loading.cpp
@@ -137,8 +137,8 @@
   }
   watch_jobs();
   run_periodic_tasks();
-  scale();
-  list_machines();
+  run_scaling_loop();
+  cloud_.start(ready_at_);
   drop_garbage();
   request_plan();
 }
--- a/src/coordination/leader/leader_workers.cpp
+++ b/src/coordination/leader/leader_workers.cpp
@@ -726,15 +726,4 @@
   }
 }
 
-void Leader::remove_machine(const std::string& name, const std::string& why) {
-  Machine* machine = cluster_.find_machine(name);
-  if (machine == nullptr) return;
-  spdlog::info("machine {} is gone: {}", name, why);
-  removed_machines_[name] = clock_.now();
-  all_gone(*machine, "machine " + name + " is gone");
-  cluster_.remove_machine(name);
-  garbage_.push_back(storage::kMachinePrefix + name);
-  drop_garbage();
-}
-
 }  // namespace larkroad::coordination
--- /dev/null
+++ b/src/coordination/scaling/cloud_reconciler.cpp
@@ -0,0 +1,339 @@
+#include "coordination/scaling/cloud_reconciler.hpp"
+
+#include <algorithm>
+
+#include "log.hpp"
+
+namespace larkroad::coordination {
+namespace {
+
+using protocol::ListedState;
+using transport::Outcome;
+using transport::Response;
+
+constexpr Seconds kCloudTimeout = 10;
+// No more than this part of the machines, and one, is released for being unreachable.
+constexpr double kMaxUnreachableRatio = 0.2;
+// Prices change; the catalog is asked again after this many lags of the machine list.
+constexpr double kCatalogRefreshLags = 10;
+// The longest capacity backoff, in lags of the machine list; the first is one lag.
+constexpr double kMaxBackoffLags = 8;
+// The workers of an earlier leader have this many heartbeat intervals to report to this one before
+// the first scaling round.
+constexpr double kFirstRoundIntervals = 1.5;
+
+Market market_of(const protocol::RentalRequest& request) {
+  return {request.type, request.zone, request.spot};
+}
+
+bool is_ok(Outcome outcome, const Response& response) {
+  return outcome == Outcome::answered && response.status == 200;
+}
+
+// Whether the cloud has refused the rental for good, so that the same request is not repeated.
+bool is_refusal(Outcome outcome, const Response& response) {
+  if (outcome != Outcome::answered) return false;
+  const bool no_capacity =
+      response.status == 503 && response.body.find("capacity") != std::string::npos;
+  return no_capacity || response.status == 400;
+}
+
+}  // namespace
+
+CloudReconciler::CloudReconciler(transport::Clock& clock, transport::Client& client,
+                                 const Leadership& leadership, const Settings& settings,
+                                 MachineCatalog& catalog, ClusterState& cluster,
+                                 RemovedMachines& removed, LeaderActivity& activity,
+                                 Callbacks callbacks)
+    : clock_(clock),
+      client_(client),
+      leadership_(leadership),
+      settings_(settings),
+      catalog_(catalog),
+      cluster_(cluster),
+      removed_(removed),
+      activity_(activity),
+      callbacks_(std::move(callbacks)),
+      scope_(clock) {}
+
+void CloudReconciler::begin_term() {
+  scope_.restart();
+  capacity_backoff_.clear();
+  pending_rentals_.clear();
+  rental_requests_ = 0;
+  listing_ = false;
+  listed_once_ = false;
+  removed_.clear();
+}
+
+void CloudReconciler::end_term() { scope_.restart(); }
+
+void CloudReconciler::start(Seconds recovered_at) {
+  recovered_at_ = recovered_at;
+  list_machines();
+}
+
+void CloudReconciler::run_scaling_round() {
+  if (!leadership_.leads() || !catalog_.known()) return;
+  // Until the machines of an earlier leader have had time to report, the fleet is not known.
+  const Seconds started_at = clock_.now();
+  if (!listed_once_ ||
+      started_at - recovered_at_ < settings_.heartbeat_interval_s * kFirstRoundIntervals) {
+    return;
+  }
+  const ScalingPlan decided = plan_scaling(cluster_, capacity_backoff_, pending_rentals_,
+                                           started_at, settings_.operators.start_bound_s);
+  activity_.fleet_time += clock_.now() - started_at;
+  for (const auto& wanted : decided.scale_out) request_machines(wanted.market, wanted.count);
+  if (!decided.scale_in.empty()) release_machines(decided.scale_in);
+}
+
+// A machine that is never reached within a lease holds no task any more, as its worker's own lease
+// has expired too. When that would be a large part of the fleet, the fault is more likely on this
+// side, and nothing is released.
+void CloudReconciler::release_unreachable_machines() {
+  const Seconds now = clock_.now();
+  size_t unreachable = 0;
+  std::vector<std::string> lost;
+  for (auto& [name, machine] : cluster_.machines()) {
+    if (machine.unreachable_since < 0 || machine.lease_expired || machine.being_released) continue;
+    ++unreachable;
+    if (now - machine.unreachable_since > settings_.lease_s) lost.push_back(name);
+    if (now - machine.inspected_at > settings_.heartbeat_interval_s) callbacks_.inspect(machine);
+  }
+  if (lost.empty()) return;
+  const double most = kMaxUnreachableRatio * static_cast<double>(cluster_.machines().size()) + 1;
+  if (static_cast<double>(unreachable) > most) return;
+  release_machines(lost);
+}
+
+// ------------------------------------------------------------------------------------ Rentals
+
+void CloudReconciler::request_machines(const Market& market, int count) {
+  // The fencing token is this term's own, so no controller and no term ever uses the name again.
+  protocol::RentalRequest request;
+  request.request =
+      "r-" + std::to_string(leadership_.fencing_token()) + "-" + std::to_string(++rental_requests_);
+  request.type = market.type;
+  request.zone = market.zone;
+  request.spot = market.spot;
+  request.count = std::min(count, protocol::kMaxRentalCount);
+  pending_rentals_[market] += request.count;
+  spdlog::info("scale-out requested: request={} count={} type={} zone={} spot={}", request.request,
+               request.count, market.type, market.zone, market.spot);
+  send_rental_request(request);
+}
+
+void CloudReconciler::send_rental_request(const protocol::RentalRequest& request) {
+  const Seconds sent_at = clock_.now();
+  client_.call(settings_.cloud.text(),
+               {"POST", protocol::kRentPath, protocol::encode_rental(request)}, kCloudTimeout,
+               scope_.wrap([this, request, sent_at](Outcome outcome, const Response& response) {
+                 rental_answered(request, sent_at, outcome, response);
+               }));
+}
+
+void CloudReconciler::rental_answered(const protocol::RentalRequest& request, Seconds sent_at,
+                                      Outcome outcome, const Response& response) {
+  if (is_ok(outcome, response)) {
+    rental_granted(request, sent_at, response.body);
+    return;
+  }
+  if (is_refusal(outcome, response)) {
+    spdlog::info("scale-out refused: request={} status={} type={} zone={} spot={}", request.request,
+                 response.status, request.type, request.zone, request.spot);
+    rental_settled(request);
+    back_off(market_of(request));
+    return;
+  }
+  // Without an answer it is repeated under the same name, whether or not it was carried out.
+  scope_.after(settings_.heartbeat_interval_s, [this, request] { send_rental_request(request); });
+}
+
+void CloudReconciler::rental_granted(const protocol::RentalRequest& request, Seconds sent_at,
+                                     const std::string& body) {
+  std::vector<std::string> names;
+  try {
+    names = protocol::parse_rented(body);
+  } catch (const std::exception& error) {
+    spdlog::error("cloud answer invalid: request={} error=\"{}\"", request.request, error.what());
+  }
+  rental_settled(request);
+  for (const auto& name : names) {
+    Machine& machine = cluster_.machine(name);
+    if (machine.rented_at == 0) machine.rented_at = sent_at;
+    // Whatever it reports comes after the beginning of this term.
+    machine.identity_confirmed = true;
+    machine.known_to_exist_at = std::max(machine.known_to_exist_at, clock_.now());
+    machine.zone = request.zone;
+    machine.spot = request.spot;
+    cluster_.set_type(machine, request.type);
+  }
+  const Market market = market_of(request);
+  if (static_cast<int>(names.size()) < request.count) {
+    back_off(market);
+  } else {
+    capacity_backoff_.granted(market);
+  }
+}
+
+void CloudReconciler::rental_settled(const protocol::RentalRequest& request) {
+  const Market market = market_of(request);
+  int& pending = pending_rentals_[market];
+  pending -= request.count;
+  if (pending <= 0) pending_rentals_.erase(market);
+}
+
+void CloudReconciler::back_off(const Market& market) {
+  capacity_backoff_.refused(market, clock_.now(), settings_.list_lag_s,
+                            settings_.list_lag_s * kMaxBackoffLags);
+}
+
+// ----------------------------------------------------------------------------------- Releases
+
+void CloudReconciler::release_machines(const std::vector<std::string>& names) {
+  std::vector<std::string> batch;
+  for (const auto& name : names) {
+    Machine* machine = cluster_.find_machine(name);
+    if (machine == nullptr || machine->being_released) continue;
+    if (static_cast<int>(batch.size()) >= protocol::kMaxReturnCount) break;
+    machine->being_released = true;
+    batch.push_back(name);
+  }
+  if (batch.empty()) return;
+  spdlog::info("scale-in requested: count={} first_machine={}", batch.size(), batch.front());
+  client_.call(settings_.cloud.text(),
+               {"POST", protocol::kReturnPath, protocol::encode_return(batch)}, kCloudTimeout,
+               scope_.wrap([this, batch](Outcome outcome, const Response& response) {
+                 release_answered(batch, outcome, response);
+               }));
+}
+
+void CloudReconciler::release_answered(const std::vector<std::string>& names, Outcome outcome,
+                                       const Response& response) {
+  if (is_ok(outcome, response)) {
+    for (const auto& name : names) remove_machine(name, "released");
+    return;
+  }
+  scope_.after(settings_.heartbeat_interval_s, [this, names] { retry_release(names); });
+}
+
+void CloudReconciler::retry_release(const std::vector<std::string>& names) {
+  for (const auto& name : names) {
+    if (Machine* machine = cluster_.find_machine(name)) machine->being_released = false;
+  }
+  release_machines(names);
+}
+
+void CloudReconciler::remove_machine(const std::string& name, const std::string& reason) {
+  Machine* machine = cluster_.find_machine(name);
+  if (machine == nullptr) return;
+  spdlog::info("machine removed: machine={} reason=\"{}\"", name, reason);
+  removed_.add(name, clock_.now());
+  callbacks_.all_tasks_lost(*machine, "machine " + name + " removed");
+  cluster_.remove_machine(name);
+  callbacks_.machine_removed(name);
+}
+
+// ------------------------------------------------------------------------------- Machine list
+
+void CloudReconciler::list_machines() {
+  scope_.after(settings_.list_lag_s > 0 ? settings_.list_lag_s / 2 : settings_.heartbeat_interval_s,
+               [this] { list_machines(); });
+  if (listing_ || !leadership_.leads()) return;
+  listing_ = true;
+  request_page("", clock_.now());
+}
+
+void CloudReconciler::request_page(const std::string& after, Seconds list_started_at) {
+  client_.call(settings_.cloud.text(), {"GET", protocol::list_target(after), ""}, kCloudTimeout,
+               scope_.wrap([this, list_started_at](Outcome outcome, const Response& response) {
+                 page_answered(list_started_at, outcome, response);
+               }));
+}
+
+void CloudReconciler::page_answered(Seconds list_started_at, Outcome outcome,
+                                    const Response& response) {
+  if (!is_ok(outcome, response)) {
+    listing_ = false;
+    return;
+  }
+  try {
+    const protocol::MachinePage page = protocol::parse_machine_page(response.body);
+    apply_page(page, list_started_at);
+    if (page.more && !page.machines.empty()) {
+      request_page(page.machines.back().name, list_started_at);
+      return;
+    }
+  } catch (const std::exception& error) {
+    spdlog::error("machine list invalid: error=\"{}\"", error.what());
+    listing_ = false;
+    return;
+  }
+  listing_ = false;
+  list_completed(list_started_at);
+}
+
+void CloudReconciler::apply_page(const protocol::MachinePage& page, Seconds list_started_at) {
+  std::vector<std::string> failed;
+  for (const auto& listed : page.machines) {
+    if (removed_.contains(listed.name)) continue;
+    apply_listed(listed, list_started_at);
+    if (listed.state == ListedState::failed) failed.push_back(listed.name);
+  }
+  for (const auto& name : failed) machine_failed(name);
+}
+
+void CloudReconciler::apply_listed(const protocol::ListedMachine& listed, Seconds list_started_at) {
+  Machine& machine = cluster_.machine(listed.name);
+  machine.listed_at = list_started_at;
+  if (machine.rented_at == 0) machine.rented_at = clock_.now() - listed.age_s;
+  if (machine.type.empty()) {
+    machine.zone = listed.zone;
+    machine.spot = listed.spot;
+    cluster_.set_type(machine, listed.type);
+  }
+  if (machine.address.empty()) machine.address = listed.address;
+  if (listed.state == ListedState::running && !machine.has_reported && !machine.address.empty()) {
+    callbacks_.inspect(machine);
+  }
+}
+
+// It stopped on its own, and all that was on it; it stays listed until it is released.
+void CloudReconciler::machine_failed(const std::string& name) {
+  Machine* machine = cluster_.find_machine(name);
+  if (machine == nullptr || machine->being_released) return;
+  callbacks_.all_tasks_lost(*machine, "machine " + name + " failed");
+  release_machines({name});
+}
+
+void CloudReconciler::list_completed(Seconds list_started_at) {
+  listed_once_ = true;
+  if (list_started_at > catalog_refreshed_at_ + settings_.list_lag_s * kCatalogRefreshLags) {
+    catalog_refreshed_at_ = list_started_at;
+    catalog_.refresh();
+  }
+  remove_missing_machines(list_started_at);
+  removed_.forget_before(list_started_at - 4 * settings_.list_lag_s - 4 * settings_.lease_s);
+}
+
+// A list shows a moment at most two lags ago. One that lacks a machine which an older moment
+// showed, or which was rented before that moment, proves that it has been removed.
+void CloudReconciler::remove_missing_machines(Seconds list_started_at) {
+  const Seconds oldest =
+      list_started_at - 2 * settings_.list_lag_s - settings_.heartbeat_interval_s;
+  std::vector<std::string> missing;
+  for (const auto& [name, machine] : cluster_.machines()) {
+    // A machine of an earlier leader's records counts too: when leaders change often, each would
+    // otherwise wait anew for the lease of one that has long been removed.
+    const Seconds known = std::max(machine.listed_at, machine.known_to_exist_at);
+    const bool known_before = known > 0 && known < oldest;
+    const bool may_be_removed = machine.last_heartbeat_at < oldest || machine.listed_at > 0;
+    if (machine.listed_at != list_started_at && known_before && may_be_removed) {
+      missing.push_back(name);
+    }
+  }
+  for (const auto& name : missing) remove_machine(name, "no longer listed");
+}
+
+}  // namespace larkroad::coordination
