--- /dev/null
+++ b/tests/cloud_reconciler_test.cpp
@@ -0,0 +1,280 @@
+// The reconciliation with the cloud, made alone: the test answers its calls.
+#include "coordination/scaling/cloud_reconciler.hpp"
+
+#include <gtest/gtest.h>
+
+#include <deque>
+
+#include "support.hpp"
+
+namespace larkroad::coordination {
+namespace {
+
+using transport::Outcome;
+using transport::Request;
+using transport::Response;
+
+class ManualClock : public transport::Clock {
+ public:
+  Seconds now() const override { return now_; }
+  Seconds unix_time() const override { return now_; }
+  transport::TimerId after(Seconds delay, std::function<void()> callback) override {
+    timers_.emplace(now_ + delay, std::move(callback));
+    return ++last_timer_;
+  }
+  void cancel(transport::TimerId) override {}
+
+  void advance(Seconds length) {
+    const Seconds until = now_ + length;
+    while (!timers_.empty() && timers_.begin()->first <= until) {
+      now_ = std::max(now_, timers_.begin()->first);
+      auto callback = std::move(timers_.begin()->second);
+      timers_.erase(timers_.begin());
+      callback();
+    }
+    now_ = until;
+  }
+
+ private:
+  std::multimap<Seconds, std::function<void()>> timers_;
+  Seconds now_ = 1000;
+  transport::TimerId last_timer_ = 0;
+};
+
+// Keeps each call until the test answers it; calls for the catalog are answered at once.
+class RecordingClient : public transport::Client {
+ public:
+  struct Call {
+    Request request;
+    transport::OnReply reply;
+  };
+
+  void call(const std::string&, Request request, Seconds, transport::OnReply reply) override {
+    if (request.target == protocol::kCatalogPath) {
+      reply(Outcome::answered, {200, protocol::encode_catalog(testing::types())});
+      return;
+    }
+    calls.push_back({std::move(request), std::move(reply)});
+  }
+
+  std::vector<Call> sent_to(const std::string& target) const {
+    std::vector<Call> found;
+    for (const auto& call : calls) {
+      if (call.request.target == target) found.push_back(call);
+    }
+    return found;
+  }
+
+  std::deque<Call> calls;
+};
+
+class FixedLeadership : public Leadership {
+ public:
+  bool leads() const override { return leading; }
+  std::uint64_t fencing_token() const override { return 7; }
+  void resign(const std::string&) override {}
+
+  bool leading = true;
+};
+
+class CloudReconcilerTest : public ::testing::Test {
+ protected:
+  CloudReconcilerTest()
+      : settings_(testing::settings()),
+        store_(clock_, client_, settings_),
+        catalog_(clock_, client_, store_, settings_),
+        cluster_(settings_),
+        reconciler_(
+            clock_, client_, leadership_, settings_, catalog_, cluster_, removed_, activity_,
+            {[this](Machine& machine) { inspected_.push_back(machine.name); },
+             [this](Machine& machine, const std::string&) { tasks_lost_.push_back(machine.name); },
+             [this](const std::string& machine) { removed_names_.push_back(machine); }}) {
+    cluster_.set_types(testing::types());
+    catalog_.refresh();
+    reconciler_.begin_term();
+    reconciler_.start(clock_.now());
+  }
+
+  static std::string list_of(const std::vector<std::string>& names, const std::string& stage) {
+    protocol::Json machines = protocol::Json::array();
+    for (const auto& name : names) {
+      machines.push_back({{"ref", name},
+                          {"address", "10.0.0.1:1"},
+                          {"breed", "small"},
+                          {"yard", "east"},
+                          {"loaners", false},
+                          {"stage", stage},
+                          {"ageS", 1.0}});
+    }
+    return protocol::Json{{"perches", machines}}.dump();
+  }
+
+  // Answers the newest call of the list; `start` has sent the first.
+  void answer_list(const std::vector<std::string>& names, const std::string& stage = "running") {
+    const auto lists = client_.sent_to(protocol::list_target(""));
+    ASSERT_FALSE(lists.empty());
+    lists.back().reply(Outcome::answered, {200, list_of(names, stage)});
+  }
+
+  // Answers the first list and waits for the earlier leader's machines, as a round requires.
+  void become_ready_to_scale() {
+    answer_list({});
+    clock_.advance(settings_.heartbeat_interval_s * 1.5);
+  }
+
+  std::vector<RecordingClient::Call> rentals() const {
+    return client_.sent_to(protocol::kRentPath);
+  }
+  std::vector<RecordingClient::Call> releases() const {
+    return client_.sent_to(protocol::kReturnPath);
+  }
+
+  ManualClock clock_;
+  RecordingClient client_;
+  Settings settings_;
+  storage::KeyValueClient store_;
+  MachineCatalog catalog_;
+  ClusterState cluster_;
+  FixedLeadership leadership_;
+  RemovedMachines removed_;
+  LeaderActivity activity_;
+  std::vector<std::string> inspected_;
+  std::vector<std::string> tasks_lost_;
+  std::vector<std::string> removed_names_;
+  CloudReconciler reconciler_;
+};
+
+TEST_F(CloudReconcilerTest, RequestsNothingBeforeTheListAndTheEarlierMachinesAreKnown) {
+  testing::add(cluster_, testing::spec("job-1"));
+  reconciler_.run_scaling_round();
+  EXPECT_TRUE(rentals().empty());
+  answer_list({});
+  EXPECT_TRUE(reconciler_.has_listed());
+  reconciler_.run_scaling_round();
+  EXPECT_TRUE(rentals().empty());
+  clock_.advance(settings_.heartbeat_interval_s * 1.5);
+  leadership_.leading = false;
+  reconciler_.run_scaling_round();
+  EXPECT_TRUE(rentals().empty());
+  leadership_.leading = true;
+  reconciler_.run_scaling_round();
+  EXPECT_EQ(rentals().size(), 1u);
+}
+
+TEST_F(CloudReconcilerTest, CountsPendingRentalsAndAddsWhatIsGranted) {
+  testing::add(cluster_, testing::spec("job-1"));
+  become_ready_to_scale();
+  reconciler_.run_scaling_round();
+  reconciler_.run_scaling_round();
+  ASSERT_EQ(rentals().size(), 1u) << "a pending rental was requested twice";
+  rentals()[0].reply(Outcome::answered, {200, R"({"perches":["i-1"]})"});
+  const Machine* machine = cluster_.find_machine("i-1");
+  ASSERT_NE(machine, nullptr);
+  EXPECT_EQ(machine->type, "small");
+  EXPECT_TRUE(machine->identity_confirmed);
+  reconciler_.run_scaling_round();
+  EXPECT_EQ(rentals().size(), 1u);
+}
+
+// Under the same name the cloud carries it out once, however often it is sent.
+TEST_F(CloudReconcilerTest, RepeatsARentalWithoutAnAnswerUnderItsName) {
+  testing::add(cluster_, testing::spec("job-1"));
+  become_ready_to_scale();
+  reconciler_.run_scaling_round();
+  ASSERT_EQ(rentals().size(), 1u);
+  rentals()[0].reply(Outcome::unknown, {});
+  clock_.advance(settings_.heartbeat_interval_s);
+  ASSERT_EQ(rentals().size(), 2u);
+  EXPECT_EQ(rentals()[0].request.body, rentals()[1].request.body);
+  EXPECT_NE(rentals()[0].request.body.find("\"r-7-1\""), std::string::npos);
+}
+
+TEST_F(CloudReconcilerTest, LeavesARefusedMarketAloneForAWhile) {
+  testing::add(cluster_, testing::spec("job-1"));
+  become_ready_to_scale();
+  reconciler_.run_scaling_round();
+  ASSERT_EQ(rentals().size(), 1u);
+  const std::string refused = rentals()[0].request.body;
+  rentals()[0].reply(Outcome::answered, {503, R"({"error":"no capacity"})"});
+  reconciler_.run_scaling_round();
+  for (size_t i = 1; i < rentals().size(); ++i) {
+    const auto wanted = protocol::Json::parse(rentals()[i].request.body);
+    const auto before = protocol::Json::parse(refused);
+    EXPECT_FALSE(wanted["breed"] == before["breed"] && wanted["yard"] == before["yard"])
+        << "the market that refused was asked again at once";
+  }
+}
+
+TEST_F(CloudReconcilerTest, ReleasesAFailedMachineAndRemovesItWhenTheCloudAgrees) {
+  answer_list({"i-1"}, "failed");
+  EXPECT_EQ(tasks_lost_, std::vector<std::string>{"i-1"});
+  ASSERT_EQ(releases().size(), 1u);
+  EXPECT_NE(cluster_.find_machine("i-1"), nullptr);
+  releases()[0].reply(Outcome::unknown, {});
+  clock_.advance(settings_.heartbeat_interval_s);
+  ASSERT_EQ(releases().size(), 2u) << "a release without an answer was not repeated";
+  releases()[1].reply(Outcome::answered, {200, "{}"});
+  EXPECT_EQ(cluster_.find_machine("i-1"), nullptr);
+  EXPECT_TRUE(removed_.contains("i-1"));
+  EXPECT_EQ(removed_names_, std::vector<std::string>{"i-1"});
+}
+
+// The cloud's list lags: a machine that it still shows has been removed all the same.
+TEST_F(CloudReconcilerTest, DoesNotBringARemovedMachineBack) {
+  answer_list({"i-1"}, "failed");
+  ASSERT_EQ(releases().size(), 1u);
+  releases()[0].reply(Outcome::answered, {200, "{}"});
+  clock_.advance(settings_.list_lag_s / 2);
+  answer_list({"i-1"}, "running");
+  EXPECT_EQ(cluster_.find_machine("i-1"), nullptr);
+}
+
+TEST_F(CloudReconcilerTest, InspectsListedMachinesThatHaveNotReported) {
+  testing::up(cluster_, "i-1", "small");
+  answer_list({"i-1", "i-2"});
+  EXPECT_EQ(inspected_, std::vector<std::string>{"i-2"});
+}
+
+// A list may be two lags old, so a machine that was seen later than that is not yet missing.
+TEST_F(CloudReconcilerTest, RemovesAMachineOnceAListMustShowIt) {
+  answer_list({"i-1"});
+  clock_.advance(settings_.list_lag_s);
+  answer_list({});
+  EXPECT_NE(cluster_.find_machine("i-1"), nullptr);
+  clock_.advance(2 * settings_.list_lag_s + settings_.heartbeat_interval_s);
+  answer_list({});  // it was asked for at the beginning of that time
+  EXPECT_NE(cluster_.find_machine("i-1"), nullptr);
+  clock_.advance(settings_.list_lag_s);
+  answer_list({});
+  EXPECT_EQ(cluster_.find_machine("i-1"), nullptr);
+  EXPECT_EQ(removed_names_, std::vector<std::string>{"i-1"});
+}
+
+TEST_F(CloudReconcilerTest, KeepsUnreachableMachinesWhenTheyAreALargePartOfTheFleet) {
+  for (const char* name : {"i-1", "i-2", "i-3", "i-4", "i-5"}) {
+    testing::up(cluster_, name, "small");
+  }
+  for (const char* name : {"i-1", "i-2", "i-3"}) {
+    cluster_.machine(name).unreachable_since = clock_.now();
+  }
+  clock_.advance(settings_.lease_s + 1);
+  reconciler_.release_unreachable_machines();
+  EXPECT_TRUE(releases().empty());
+  EXPECT_EQ(inspected_.size(), 3u);
+  cluster_.machine("i-3").unreachable_since = -1;
+  reconciler_.release_unreachable_machines();
+  EXPECT_EQ(releases().size(), 1u);
+}
+
+TEST_F(CloudReconcilerTest, IgnoresAnswersOfAnEarlierTerm) {
+  testing::add(cluster_, testing::spec("job-1"));
+  become_ready_to_scale();
+  reconciler_.run_scaling_round();
+  ASSERT_EQ(rentals().size(), 1u);
+  reconciler_.end_term();
+  rentals()[0].reply(Outcome::answered, {200, R"({"perches":["i-1"]})"});
+  EXPECT_EQ(cluster_.find_machine("i-1"), nullptr);
+}
+
+}  // namespace
+}  // namespace larkroad::coordination
