--- a/src/coordination/leader/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -34,15 +34,28 @@
       leadership_(election),
       catalog_(catalog),
       settings_(settings),
-      transaction_changes_(settings.lasting_store_limits().max_transaction_changes),
       scope_(clock),
       cluster_(settings),
       relay_assignment_(settings),
+      transaction_limit_(settings.lasting_store_limits().max_transaction_changes),
+      garbage_(clock, store, leadership_, settings, transaction_limit_),
+      image_recorder_(clock, store, leadership_, settings, transaction_limit_, cluster_),
+      placement_writer_(clock, store, leadership_, settings, transaction_limit_, cluster_, garbage_,
+                        placement_writer_callbacks()),
       cloud_(clock, client, leadership_, settings, catalog, cluster_, removed_machines_, activity_,
              {[this](Machine& machine) { inspect(machine); },
               [this](Machine& machine, const std::string& reason) { all_gone(machine, reason); },
               [this](const std::string& machine) { machine_removed(machine); }}) {}
 
+PlacementWriter::Callbacks Leader::placement_writer_callbacks() {
+  return {
+      [this](const std::string& job) { refresh_job(job); },
+      [this](const std::string& job, std::uint64_t revision) { finished_[job] = revision; },
+      [this](Job& job, const std::vector<std::uint32_t>& tasks) { launch(job, tasks); },
+      [this] { request_plan(); },
+  };
+}
+
 void Leader::begin(bool spread) {
   scope_.restart();
   relay_assignment_.clear(spread);
@@ -53,15 +66,15 @@
   cluster_.clear();
   cluster_.set_day_offset(clock_.unix_time() - clock_.now());
   gang_reservations_.clear();
+  placement_writer_.begin_term();
+  garbage_.begin_term();
+  image_recorder_.begin_term();
   cloud_.begin_term();
   loaded_placements_.clear();
   loaded_images_.clear();
-  recording_images_ = false;
-  garbage_.clear();
   finished_.clear();
   plan_armed_ = false;
   plan_from_ = 0;
-  dropping_ = false;
   queued_commands_.clear();
   sending_armed_ = false;
   lag_.reset();
@@ -75,6 +88,9 @@
 
 void Leader::end() {
   scope_.restart();
+  placement_writer_.end_term();
+  garbage_.end_term();
+  image_recorder_.end_term();
   cloud_.end_term();
   ready_ = false;
   loading_ = false;
@@ -114,7 +130,7 @@
   for (const auto& [id, job] : cluster_.jobs()) {
     if (job->write_in_flight) continue;
     persist(*job);
-    if (!job->write_in_flight) shrink_shards(*job);
+    if (!job->write_in_flight) placement_writer_.shrink_shards(*job);
   }
   if (fence_wanted_ && now - fenced_at_ > settings_.lease_s / 4) {
     fence_wanted_ = false;
@@ -132,14 +148,14 @@
 
 void Leader::run_scaling_loop() {
   scope_.after(settings_.heartbeat_interval_s * kScalingRatio, [this] { run_scaling_loop(); });
-  record_images();
+  image_recorder_.record();
   log_fleet_usage(cluster_, activity_);
   cloud_.run_scaling_round();
 }
 
 void Leader::machine_removed(const std::string& machine) {
-  garbage_.push_back(storage::kMachinePrefix + machine);
-  drop_garbage();
+  garbage_.add(storage::kMachinePrefix + machine);
+  garbage_.collect();
 }
 
 void Leader::request_plan() {
--- a/src/coordination/leader/leader.hpp
+++ b/src/coordination/leader/leader.hpp
@@ -14,6 +14,9 @@
 #include "coordination/election/election.hpp"
 #include "coordination/election/leadership.hpp"
 #include "coordination/leader/lag_meter.hpp"
+#include "coordination/records/garbage_collector.hpp"
+#include "coordination/records/image_recorder.hpp"
+#include "coordination/records/placement_writer.hpp"
 #include "coordination/relay/relay_assignment.hpp"
 #include "coordination/scaling/cloud_reconciler.hpp"
 #include "coordination/scaling/fleet_usage.hpp"
@@ -81,17 +84,8 @@
 
   // Jobs and their records.
   void cancel_job(Job& job);
-  void persist(Job& job);
-  void persisted(const std::string& id, const std::vector<std::uint32_t>& shards,
-                 const std::vector<storage::PlacedTask>& recorded,
-                 const std::vector<std::uint32_t>& done, const storage::CommitReply& reply);
-  void finish_job(Job& job);
-  // Lays out the records of a job anew that was accepted under larger limits of the state service.
-  void shrink_shards(Job& job);
-  void shards_shrunk(Job& job, std::uint32_t tasks_per_shard, std::uint64_t revision);
-  void handle_size_refusal(Job& job, const std::vector<std::uint32_t>& shards);
-  void drop_garbage();
-  void record_images();
+  void persist(Job& job) { placement_writer_.persist(job); }
+  PlacementWriter::Callbacks placement_writer_callbacks();
   void task_gone(Job& job, std::uint32_t task, const std::string& why);
 
   // Workers.
@@ -151,8 +145,6 @@
   MachineCatalog& catalog_;
   const Settings& settings_;
 
-  // How many changes the state service takes in one transaction, as far as is known.
-  int transaction_changes_;
   transport::CallbackScope scope_;  // of this term of leadership
   bool ready_ = false;
   bool loading_ = false;
@@ -166,11 +158,8 @@
   std::uint64_t watched_to_ = 0;
   std::vector<storage::Entry> loaded_placements_;
   std::map<std::string, storage::Images> loaded_images_;
-  std::vector<std::string> garbage_;
   // Jobs that this leader has finished, and when: a watch that is behind may still tell of them.
   std::map<std::string, std::uint64_t> finished_;
-  bool dropping_ = false;
-  bool recording_images_ = false;
   bool plan_armed_ = false;
   size_t plan_from_ = 0;
   Seconds plan_next_ = 0;  // no round before this
@@ -188,6 +177,10 @@
   Seconds next_periodic_run_ = 0;
   LeaderActivity activity_;
   RemovedMachines removed_machines_;
+  TransactionLimit transaction_limit_;
+  GarbageCollector garbage_;
+  ImageRecorder image_recorder_;
+  PlacementWriter placement_writer_;
   CloudReconciler cloud_;
 };
 
--- a/src/coordination/leader/leader_loading.cpp
+++ b/src/coordination/leader/leader_loading.cpp
@@ -89,7 +89,7 @@
     if (!storage::parse_placement_key(entry.key, id, shard)) continue;
     Job* job = cluster_.job(id);
     if (job == nullptr) {
-      garbage_.push_back(entry.key);
+      garbage_.add(entry.key);
       continue;
     }
     try {
@@ -118,6 +118,7 @@
       job->gang_started = true;  // to be on the safe side
   }
   ready_ = true;
+  placement_writer_.start();
   loading_ = false;
   election_.view_proved(loading_since_);
   cluster_.set_types(catalog_.types());
@@ -139,7 +140,7 @@
   run_periodic_tasks();
   run_scaling_loop();
   cloud_.start(ready_at_);
-  drop_garbage();
+  garbage_.collect();
   request_plan();
 }
 
--- /dev/null
+++ b/src/coordination/records/placement_writer.cpp
@@ -0,0 +1,351 @@
+#include "coordination/records/placement_writer.hpp"
+
+#include <algorithm>
+
+#include "log.hpp"
+#include "storage/records.hpp"
+
+namespace larkroad::coordination {
+namespace {
+
+using storage::CommitReply;
+using storage::Status;
+using storage::Transaction;
+using Stage = Placement::Stage;
+
+// What has failed for a reason that passes is tried again after this part of the heartbeat
+// interval.
+constexpr double kRetryRatio = 1.0 / 10;
+// A record that is too large at present is looked at again after this part of the heartbeat
+// interval.
+constexpr double kTooLargeRatio = 1.0 / 4;
+// What the store refuses as too large, although it fits the limits that are known, is tried again
+// after this many heartbeat intervals.
+constexpr double kRefusedIntervals = 4;
+// What a change adds to a transaction beside its key and its record, in bytes; generous.
+constexpr size_t kChangeOverheadBytes = 64;
+// No further record is added to a transaction that is larger than this, in bytes.
+constexpr size_t kTransactionBytes = transport::kBodyLimit / 2;
+
+}  // namespace
+
+PlacementWriter::PlacementWriter(transport::Clock& clock, storage::KeyValueClient& store,
+                                 Leadership& leadership, const Settings& settings,
+                                 TransactionLimit& limit, ClusterState& cluster,
+                                 GarbageCollector& garbage, Callbacks callbacks)
+    : clock_(clock),
+      store_(store),
+      leadership_(leadership),
+      settings_(settings),
+      limit_(limit),
+      cluster_(cluster),
+      garbage_(garbage),
+      callbacks_(std::move(callbacks)),
+      scope_(clock) {}
+
+void PlacementWriter::begin_term() {
+  scope_.restart();
+  started_ = false;
+}
+
+void PlacementWriter::end_term() {
+  scope_.restart();
+  started_ = false;
+}
+
+Transaction PlacementWriter::new_transaction(const Job& job) const {
+  Transaction transaction;
+  transaction.preconditions.push_back({storage::kLeaderKey, leadership_.fencing_token()});
+  transaction.preconditions.push_back({storage::job_key(job.id()), job.revision});
+  return transaction;
+}
+
+bool PlacementWriter::is_job_conflict(const std::string& id, const CommitReply& reply) const {
+  return reply.status == Status::conflict && reply.failed_machines(storage::job_key(id));
+}
+
+void PlacementWriter::persist_after(Seconds delay, const std::string& id, bool ends_write) {
+  scope_.after(delay, [this, id, ends_write] {
+    Job* job = cluster_.job(id);
+    if (job == nullptr) return;
+    if (ends_write) job->write_in_flight = false;
+    persist(*job);
+  });
+}
+
+// --------------------------------------------------------------------------------- Placements
+
+void PlacementWriter::persist(Job& job) {
+  if (job.write_in_flight || !may_write()) return;
+  if (job.is_finished() && job.cancelled_by_peer) {
+    // A peer's word is not enough to write on: its record is read first.
+    job.write_in_flight = true;
+    callbacks_.refresh_job(job.id());
+    return;
+  }
+  if (job.is_finished()) {
+    finish(job);
+    return;
+  }
+  Transaction transaction = new_transaction(job);
+  Batch batch;
+  add_dirty_shards(job, transaction, batch);
+  if (batch.shards.empty()) return;
+  job.write_in_flight = true;
+  const bool low = job.effective_priority() == protocol::Priority::low;
+  store_.commit_until_certain(
+      std::move(transaction), scope_.is_current(),
+      scope_.wrap([this, id = job.id(), batch](const CommitReply& reply) {
+        write_answered(id, batch, reply);
+      }),
+      low ? storage::RequestPriority::bulk : storage::RequestPriority::scheduling);
+}
+
+void PlacementWriter::add_dirty_shards(Job& job, Transaction& transaction, Batch& batch) {
+  const double value_bytes = settings_.lasting_store_limits().value_bytes();
+  const Seconds now = clock_.now();
+  size_t bytes = 0;
+  for (auto& [number, shard] : job.shards) {
+    if (!shard.dirty || now < shard.write_at) continue;
+    if (!limit_.has_room(transaction) || bytes > kTransactionBytes) break;
+    const std::string key = storage::placement_key(job.id(), number);
+    storage::Json record = storage::encode(cluster_.placement_record(job, number));
+    const size_t size = storage::encoded_size(record);
+    if (static_cast<double>(size) > value_bytes) {
+      // Only of a job that was accepted under larger limits. What has ended stays on the workers
+      // until it is recorded, and the record becomes smaller with each end.
+      shard.write_at = now + settings_.heartbeat_interval_s * kTooLargeRatio;
+      continue;
+    }
+    transaction.preconditions.push_back({key, shard.revision});
+    transaction.writes.push_back({key, std::move(record), std::nullopt});
+    bytes += size + key.size() + kChangeOverheadBytes;
+    shard.dirty = false;
+    add_shard_contents(job, number, batch);
+  }
+}
+
+void PlacementWriter::add_shard_contents(const Job& job, std::uint32_t shard, Batch& batch) const {
+  const std::uint32_t first = shard * job.tasks_per_shard;
+  const std::uint32_t end = first + job.tasks_per_shard;
+  batch.shards.push_back(shard);
+  for (auto it = job.placements.lower_bound(first); it != job.placements.end() && it->first < end;
+       ++it) {
+    const Placement& placement = it->second;
+    if (placement.stage != Stage::persisting) continue;
+    batch.placed.push_back(
+        {it->first, placement.attempt, placement.machine, placement.incarnation});
+  }
+  for (auto it = job.unpersisted_done.lower_bound(first);
+       it != job.unpersisted_done.end() && *it < end; ++it) {
+    batch.done.push_back(*it);
+  }
+}
+
+void PlacementWriter::write_answered(const std::string& id, const Batch& batch,
+                                     const CommitReply& reply) {
+  Job* job = cluster_.job(id);
+  if (job == nullptr) return;
+  job->write_in_flight = false;
+  if (reply.status == Status::ok) {
+    write_succeeded(*job, batch, reply.revision);
+  } else {
+    write_failed(*job, batch, reply);
+  }
+}
+
+void PlacementWriter::write_failed(Job& job, const Batch& batch, const CommitReply& reply) {
+  for (const auto number : batch.shards) job.shards[number].dirty = true;  // at once, as before
+  if (is_job_conflict(job.id(), reply)) {
+    job.write_in_flight = true;  // until its record has been read again
+    callbacks_.refresh_job(job.id());
+    return;
+  }
+  if (reply.status == Status::conflict && reply.failed_machines(storage::kLeaderKey)) {
+    // Either this controller raised its own token meanwhile, or it no longer leads and will be
+    // told so.
+    persist_after(settings_.heartbeat_interval_s * kRetryRatio, job.id(), false);
+    return;
+  }
+  if (reply.status == Status::invalid) {
+    handle_size_refusal(job, batch.shards);
+    return;
+  }
+  spdlog::error("placement write failed: job={}", job.id());
+  leadership_.resign("a record is not what this leader wrote");
+}
+
+void PlacementWriter::write_succeeded(Job& job, const Batch& batch, std::uint64_t revision) {
+  for (const auto number : batch.shards) job.shards[number].revision = revision;
+  for (const auto task : batch.done) job.unpersisted_done.erase(task);
+  std::vector<std::uint32_t> launches = mark_persisted(job, batch.placed);
+  if (job.cancelled) {
+    // Recorded, but nothing was sent and nothing will be.
+    for (const auto task : launches) cluster_.unplace(job, task, clock_.now());
+    launches.clear();
+  }
+  if (job.spec.is_gang()) {
+    // All launches go together, once every record of the gang is durable.
+    if (has_unpersisted_placements(job)) {
+      persist(job);
+      return;
+    }
+    launches = gang_launches(job);
+  }
+  if (!launches.empty() && leadership_.leads()) callbacks_.launch(job, launches);
+  persist(job);
+  callbacks_.request_plan();
+}
+
+// The tasks among them whose placement is still the one that has become durable. A task of a gang
+// may have been placed on another machine meanwhile, with the same attempt.
+std::vector<std::uint32_t> PlacementWriter::mark_persisted(
+    Job& job, const std::vector<storage::PlacedTask>& placed) {
+  std::vector<std::uint32_t> tasks;
+  for (const auto& written : placed) {
+    const auto it = job.placements.find(written.task);
+    if (it == job.placements.end()) continue;
+    Placement& placement = it->second;
+    if (placement.stage != Stage::persisting || placement.attempt != written.attempt ||
+        placement.machine != written.machine || placement.incarnation != written.incarnation) {
+      continue;
+    }
+    placement.stage = Stage::persisted;
+    tasks.push_back(written.task);
+  }
+  return tasks;
+}
+
+bool PlacementWriter::has_unpersisted_placements(const Job& job) const {
+  return std::any_of(job.placements.begin(), job.placements.end(),
+                     [](const auto& entry) { return entry.second.stage == Stage::persisting; });
+}
+
+// What an earlier leader placed is not launched anew as it stands: its room may have gone to others
+// since, so it is queued again once the worker is known not to have it.
+std::vector<std::uint32_t> PlacementWriter::gang_launches(const Job& job) const {
+  std::vector<std::uint32_t> tasks;
+  for (const auto& [task, placement] : job.placements) {
+    if (placement.stage == Stage::persisted && !placement.stopping && !placement.recovered) {
+      tasks.push_back(task);
+    }
+  }
+  return tasks;
+}
+
+// The store accepts less than its limits say. Its answer is certain: nothing was carried out. The
+// next transactions are smaller; a single record that is refused is tried again now and then, as
+// the others of its job must not wait for it.
+void PlacementWriter::handle_size_refusal(Job& job, const std::vector<std::uint32_t>& shards) {
+  if (limit_.lower()) {
+    spdlog::error("transaction refused as too large: job={} max_changes={}", job.id(),
+                  limit_.max_changes());
+    return;
+  }
+  spdlog::error("record refused as too large: job={}", job.id());
+  for (const auto number : shards) {
+    job.shards[number].write_at = clock_.now() + settings_.heartbeat_interval_s * kRefusedIntervals;
+  }
+}
+
+// ------------------------------------------------------------------------------ Finished jobs
+
+void PlacementWriter::finish(Job& job) {
+  Transaction transaction = new_transaction(job);
+  // A cancelled job stays cancelled, even if its last task was done before it could be stopped:
+  // its user has been told.
+  transaction.writes.push_back(
+      {storage::finished_key(job.id()),
+       storage::encode(storage::FinishedRecord{job.cancelled, job.spec.tasks}), std::nullopt});
+  transaction.deletes.push_back(storage::job_key(job.id()));
+  std::vector<std::string> remaining_keys;
+  for (const auto& [number, shard] : job.shards) {
+    if (shard.revision == 0) continue;
+    const std::string key = storage::placement_key(job.id(), number);
+    if (limit_.has_room(transaction)) {
+      transaction.deletes.push_back(key);
+    } else {
+      remaining_keys.push_back(key);
+    }
+  }
+  job.write_in_flight = true;
+  store_.commit_until_certain(
+      std::move(transaction), scope_.is_current(),
+      scope_.wrap([this, id = job.id(), remaining_keys](const CommitReply& reply) {
+        finish_answered(id, remaining_keys, reply);
+      }));
+}
+
+void PlacementWriter::finish_answered(const std::string& id,
+                                      const std::vector<std::string>& remaining_keys,
+                                      const CommitReply& reply) {
+  Job* job = cluster_.job(id);
+  if (job == nullptr) return;
+  if (reply.status == Status::ok) {
+    finish_succeeded(*job, remaining_keys, reply.revision);
+    return;
+  }
+  if (is_job_conflict(id, reply)) {
+    callbacks_.refresh_job(id);
+    return;
+  }
+  const bool refused = reply.status == Status::invalid;
+  if (refused) handle_size_refusal(*job, {});
+  persist_after(settings_.heartbeat_interval_s * (refused ? kRefusedIntervals : kRetryRatio), id,
+                true);
+}
+
+void PlacementWriter::finish_succeeded(Job& job, const std::vector<std::string>& remaining_keys,
+                                       std::uint64_t revision) {
+  const std::string id = job.id();
+  spdlog::info("job finished: job={} outcome={}", id, job.cancelled ? "cancelled" : "done");
+  garbage_.add(remaining_keys);
+  callbacks_.job_finished(id, revision);
+  cluster_.remove_job(id);
+  garbage_.collect();
+  callbacks_.request_plan();
+}
+
+// ---------------------------------------------------------------------------- Smaller shards
+
+// While nothing of the job is placed and none of its tasks is done, each placement record says the
+// same whatever range of tasks it is taken for, so that the job's own record is all that changes.
+// A controller of the first version reads it like any other.
+void PlacementWriter::shrink_shards(Job& job) {
+  if (!cluster_.has_oversized_shards(job) || !job.placements.empty() || job.done_count > 0 ||
+      job.cancelled || !may_write()) {
+    return;
+  }
+  const StoreLimits limits = settings_.lasting_store_limits();
+  const std::uint32_t tasks_per_shard = storage::max_tasks_per_shard(limits.value_kb);
+  const storage::JobRecord record{job.spec, job.submitted_at, tasks_per_shard, false};
+  if (!storage::can_be_cancelled_within(record, limits.value_bytes())) return;
+  Transaction transaction = new_transaction(job);
+  transaction.writes.push_back({storage::job_key(job.id()), storage::encode(record), std::nullopt});
+  job.write_in_flight = true;
+  store_.commit_until_certain(
+      std::move(transaction), scope_.is_current(),
+      scope_.wrap([this, id = job.id(), tasks_per_shard](const CommitReply& reply) {
+        shrink_answered(id, tasks_per_shard, reply);
+      }));
+}
+
+void PlacementWriter::shrink_answered(const std::string& id, std::uint32_t tasks_per_shard,
+                                      const CommitReply& reply) {
+  Job* job = cluster_.job(id);
+  if (job == nullptr) return;
+  if (is_job_conflict(id, reply)) {
+    callbacks_.refresh_job(id);
+    return;
+  }
+  job->write_in_flight = false;
+  if (reply.status == Status::ok) {
+    spdlog::info("placement shards made smaller: job={} tasks_per_shard={}", id, tasks_per_shard);
+    job->tasks_per_shard = tasks_per_shard;
+    job->revision = reply.revision;
+  }
+  persist(*job);
+  callbacks_.request_plan();
+}
+
+}  // namespace larkroad::coordination
