--- a/src/coordination/election/leadership.hpp
+++ b/src/coordination/election/leadership.hpp
@@ -20,6 +20,16 @@
   /// The present fencing token of this term. It grows when the leader raises it.
   virtual std::uint64_t fencing_token() const = 0;
 
+  /// The leader has read, in answer to a call sent at that time, all that was recorded of the jobs
+  /// by then. Without such a proof now and then it may not lead on.
+  virtual void view_proved(Seconds sent_at) = 0;
+
+  /// How long a watch may wait for changes, so that its answer proves the view in time.
+  virtual Seconds view_interval() const = 0;
+
+  /// How long after its last renewal an earlier leader may still have answered a heartbeat.
+  virtual Seconds retention() const = 0;
+
   /// Gives the term up, to start anew from what is recorded.
   virtual void resign(const std::string& reason) = 0;
 };
@@ -31,6 +41,9 @@
 
   bool leads() const override { return election_.leads(); }
   std::uint64_t fencing_token() const override { return election_.fencing_token(); }
+  void view_proved(Seconds sent_at) override { election_.view_proved(sent_at); }
+  Seconds view_interval() const override { return election_.view_interval(); }
+  Seconds retention() const override { return election_.retention(); }
   void resign(const std::string& reason) override { election_.resign(reason); }
 
  private:
--- a/src/coordination/leader/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -42,6 +42,9 @@
       image_recorder_(clock, store, leadership_, settings, transaction_limit_, cluster_),
       placement_writer_(clock, store, leadership_, settings, transaction_limit_, cluster_, garbage_,
                         placement_writer_callbacks()),
+      job_watch_(clock, store, leadership_, settings, cluster_, job_watch_callbacks()),
+      state_recovery_(clock, store, leadership_, settings, cluster_, garbage_,
+                      state_recovery_callbacks()),
       cloud_(clock, client, leadership_, settings, catalog, cluster_, removed_machines_, activity_,
              {[this](Machine& machine) { inspect(machine); },
               [this](Machine& machine, const std::string& reason) { all_gone(machine, reason); },
@@ -49,13 +52,31 @@
 
 PlacementWriter::Callbacks Leader::placement_writer_callbacks() {
   return {
-      [this](const std::string& job) { refresh_job(job); },
-      [this](const std::string& job, std::uint64_t revision) { finished_[job] = revision; },
+      [this](const std::string& job) { job_watch_.refresh(job); },
+      [this](const std::string& job, std::uint64_t revision) {
+        job_watch_.job_finished(job, revision);
+      },
       [this](Job& job, const std::vector<std::uint32_t>& tasks) { launch(job, tasks); },
       [this] { request_plan(); },
   };
 }
 
+JobWatch::Callbacks Leader::job_watch_callbacks() {
+  return {
+      [this](Job& job) { cancel_job(job); },
+      [this](Job& job) { persist(job); },
+      [this] { request_plan(); },
+  };
+}
+
+StateRecovery::Callbacks Leader::state_recovery_callbacks() {
+  return {
+      [this](const storage::Entry& entry) { job_watch_.apply(entry); },
+      [this](std::uint64_t revision) { job_watch_.watch_from(revision); },
+      [this](RecoveredState state) { recovered(std::move(state)); },
+  };
+}
+
 void Leader::begin(bool spread) {
   scope_.restart();
   relay_assignment_.clear(spread);
@@ -66,13 +87,12 @@
   cluster_.clear();
   cluster_.set_day_offset(clock_.unix_time() - clock_.now());
   gang_reservations_.clear();
+  job_watch_.begin_term();
   placement_writer_.begin_term();
   garbage_.begin_term();
   image_recorder_.begin_term();
   cloud_.begin_term();
-  loaded_placements_.clear();
   loaded_images_.clear();
-  finished_.clear();
   plan_armed_ = false;
   plan_from_ = 0;
   queued_commands_.clear();
@@ -81,13 +101,14 @@
   next_periodic_run_ = kNoLimit;
   fence_wanted_ = false;
   fenced_at_ = begun_at_;
-  watched_to_ = 0;
   cluster_.set_types(catalog_.types());
-  load_jobs("");
+  state_recovery_.start(begun_at_);
 }
 
 void Leader::end() {
   scope_.restart();
+  state_recovery_.end_term();
+  job_watch_.end_term();
   placement_writer_.end_term();
   garbage_.end_term();
   image_recorder_.end_term();
@@ -98,6 +119,41 @@
   gang_reservations_.clear();
 }
 
+void Leader::recovered(RecoveredState state) {
+  loaded_images_ = std::move(state.images);
+  ready_ = true;
+  loading_ = false;
+  job_watch_.set_recovered();
+  placement_writer_.start();
+  leadership_.view_proved(state.jobs_requested_at);
+  cluster_.set_types(catalog_.types());
+  ready_at_ = clock_.now();
+  spdlog::info("state recovered: jobs={} placed_tasks={} duration_ms={:.0f}",
+               cluster_.jobs().size(), state.placed_tasks, (ready_at_ - begun_at_) * 1000);
+  resume_finished_jobs();
+  job_watch_.start();
+  run_periodic_tasks();
+  run_scaling_loop();
+  cloud_.start(ready_at_);
+  garbage_.collect();
+  request_plan();
+}
+
+// Takes up again what an earlier leader did not get done of jobs that are cancelled or finished.
+void Leader::resume_finished_jobs() {
+  std::vector<std::string> ids;  // a copy: what follows may remove jobs
+  for (const auto& [id, job] : cluster_.jobs()) ids.push_back(id);
+  for (const auto& id : ids) {
+    Job* job = cluster_.job(id);
+    if (job == nullptr) continue;
+    if (job->cancelled) {
+      cancel_job(*job);
+    } else if (job->is_finished()) {
+      persist(*job);
+    }
+  }
+}
+
 void Leader::types_changed() {
   if (ready_) cluster_.set_types(catalog_.types());
 }
--- a/src/coordination/leader/leader.hpp
+++ b/src/coordination/leader/leader.hpp
@@ -17,6 +17,8 @@
 #include "coordination/records/garbage_collector.hpp"
 #include "coordination/records/image_recorder.hpp"
 #include "coordination/records/placement_writer.hpp"
+#include "coordination/recovery/job_watch.hpp"
+#include "coordination/recovery/state_recovery.hpp"
 #include "coordination/relay/relay_assignment.hpp"
 #include "coordination/scaling/cloud_reconciler.hpp"
 #include "coordination/scaling/fleet_usage.hpp"
@@ -42,10 +44,8 @@
   void types_changed();
   // Elected, but still reading the records: it can answer no report yet.
   bool loading() const { return loading_; }
-  // A cancellation that is durable, told by the node that made it so: the watch will bring it too,
-  // but that may take long, and a leader that the state service refuses would not hear of it in
-  // time. False when the job is not known here.
-  bool cancelled_by_peer(const std::string& id);
+  /// See JobWatch::cancelled_by_peer.
+  bool cancelled_by_peer(const std::string& id) { return job_watch_.cancelled_by_peer(id); }
 
   // How a batch came. A relay that cannot reach the leader reaches none of the nodes to which its
   // workers could be sent on either.
@@ -73,14 +73,11 @@
   // Loops and retries, as a part of the workers' report interval.
   static constexpr double kRetryRatio = 1.0 / 10;
 
-  // Loading.
-  void load_jobs(const std::string& after);
-  void load_placements(const std::string& after);
-  void load_images(const std::string& after);
-  void loaded();
-  void watch_jobs();
-  void apply_job(const std::string& id, const storage::Json& data, std::uint64_t revision);
-  void refresh_job(const std::string& id);
+  // Recovery.
+  StateRecovery::Callbacks state_recovery_callbacks();
+  JobWatch::Callbacks job_watch_callbacks();
+  void recovered(RecoveredState state);
+  void resume_finished_jobs();
 
   // Jobs and their records.
   void cancel_job(Job& job);
@@ -148,18 +145,13 @@
   transport::CallbackScope scope_;  // of this term of leadership
   bool ready_ = false;
   bool loading_ = false;
-  Seconds loading_since_ = 0;  // when the first page of the jobs was asked for
   Seconds begun_at_ = 0;
   std::uint64_t first_fencing_token_ = 0;  // of this leadership, before it was ever raised
   Seconds ready_at_ = 0;
   ClusterState cluster_;
   GangReservations gang_reservations_;
   RelayAssignment relay_assignment_;
-  std::uint64_t watched_to_ = 0;
-  std::vector<storage::Entry> loaded_placements_;
   std::map<std::string, storage::Images> loaded_images_;
-  // Jobs that this leader has finished, and when: a watch that is behind may still tell of them.
-  std::map<std::string, std::uint64_t> finished_;
   bool plan_armed_ = false;
   size_t plan_from_ = 0;
   Seconds plan_next_ = 0;  // no round before this
@@ -181,6 +173,8 @@
   GarbageCollector garbage_;
   ImageRecorder image_recorder_;
   PlacementWriter placement_writer_;
+  JobWatch job_watch_;
+  StateRecovery state_recovery_;
   CloudReconciler cloud_;
 };
 
--- /dev/null
+++ b/src/coordination/recovery/job_watch.cpp
@@ -0,0 +1,149 @@
+#include "coordination/recovery/job_watch.hpp"
+
+#include <algorithm>
+#include <string_view>
+
+#include "log.hpp"
+#include "storage/records.hpp"
+
+namespace larkroad::coordination {
+namespace {
+
+using storage::Status;
+
+// A call that has failed is repeated after this part of the heartbeat interval.
+constexpr double kRetryRatio = 1.0 / 10;
+
+std::string job_of_key(const std::string& key) {
+  return key.substr(std::string_view(storage::kJobPrefix).size());
+}
+
+}  // namespace
+
+JobWatch::JobWatch(transport::Clock& clock, storage::KeyValueClient& store, Leadership& leadership,
+                   const Settings& settings, ClusterState& cluster, Callbacks callbacks)
+    : clock_(clock),
+      store_(store),
+      leadership_(leadership),
+      settings_(settings),
+      cluster_(cluster),
+      callbacks_(std::move(callbacks)),
+      scope_(clock) {}
+
+void JobWatch::begin_term() {
+  scope_.restart();
+  recovered_ = false;
+  watched_to_ = 0;
+  finished_.clear();
+}
+
+void JobWatch::end_term() {
+  scope_.restart();
+  recovered_ = false;
+}
+
+void JobWatch::watch() {
+  const Seconds requested_at = clock_.now();
+  store_.watch(storage::kJobPrefix, watched_to_, leadership_.view_interval(),
+               scope_.wrap([this, requested_at](const storage::WatchReply& reply) {
+                 watch_answered(requested_at, reply);
+               }));
+}
+
+void JobWatch::watch_answered(Seconds requested_at, const storage::WatchReply& reply) {
+  if (reply.status == Status::too_old) {
+    leadership_.resign("missed changes of the jobs");
+    return;
+  }
+  if (reply.status != Status::ok) {
+    scope_.after(settings_.heartbeat_interval_s * kRetryRatio, [this] { watch(); });
+    return;
+  }
+  for (const auto& event : reply.events) {
+    if (!event.deleted) apply(job_of_key(event.key), event.data, event.revision);
+  }
+  watched_to_ = std::max(watched_to_, reply.revision);
+  std::erase_if(finished_, [this](const auto& entry) { return entry.second <= watched_to_; });
+  leadership_.view_proved(requested_at);
+  watch();
+}
+
+void JobWatch::apply(const storage::Entry& entry) {
+  apply(job_of_key(entry.key), entry.data, entry.revision);
+}
+
+void JobWatch::apply(const std::string& id, const storage::Json& data, std::uint64_t revision) {
+  if (const auto it = finished_.find(id); it != finished_.end() && revision < it->second) return;
+  const Job* job = cluster_.job(id);
+  if (job != nullptr && revision <= job->revision) return;
+  try {
+    apply_record(id, storage::decode_job(id, data), revision);
+  } catch (const std::exception& error) {
+    spdlog::error("job record invalid: job={} error=\"{}\"", id, error.what());
+  }
+}
+
+void JobWatch::apply_record(const std::string& id, const storage::JobRecord& record,
+                            std::uint64_t revision) {
+  Job* job = cluster_.job(id);
+  if (job == nullptr) {
+    job = &cluster_.add_job(id, record, revision);
+    cluster_.learn_arrival(*job);
+    spdlog::debug("job added: job={} shape={} tasks={} class={} team={}", id,
+                  protocol::shape_name(record.spec.shape), record.spec.tasks, record.spec.job_class,
+                  record.spec.team);
+  } else {
+    job->revision = revision;
+  }
+  job->cancelled_by_peer = false;
+  if (!recovered_) return;
+  if (record.cancelled) {
+    callbacks_.cancel_job(*job);
+  } else {
+    callbacks_.request_plan();
+  }
+}
+
+bool JobWatch::cancelled_by_peer(const std::string& id) {
+  Job* job = cluster_.job(id);
+  if (job == nullptr) return false;
+  if (job->cancelled) return true;
+  job->cancelled_by_peer = true;
+  if (recovered_) {
+    callbacks_.cancel_job(*job);
+  } else {
+    job->cancelled = true;
+  }
+  return true;
+}
+
+void JobWatch::refresh(const std::string& id) {
+  store_.get(storage::job_key(id),
+             scope_.wrap([this, id](Status status, const storage::Entry& entry) {
+               refresh_answered(id, status, entry);
+             }));
+}
+
+void JobWatch::refresh_answered(const std::string& id, Status status, const storage::Entry& entry) {
+  if (status == Status::missing) {
+    leadership_.resign("the record of " + id + " is missing");
+    return;
+  }
+  if (status != Status::ok) {
+    scope_.after(settings_.heartbeat_interval_s * kRetryRatio, [this, id] { refresh(id); });
+    return;
+  }
+  apply(id, entry.data, entry.revision);
+  Job* job = cluster_.job(id);
+  if (job == nullptr) return;
+  job->write_in_flight = false;
+  if (job->cancelled_by_peer) {
+    // The record says otherwise, and it is the record that counts.
+    job->cancelled = false;
+    job->cancelled_by_peer = false;
+    callbacks_.request_plan();
+  }
+  callbacks_.persist(*job);
+}
+
+}  // namespace larkroad::coordination
--- /dev/null
+++ b/src/coordination/recovery/state_recovery.cpp
@@ -0,0 +1,130 @@
+#include "coordination/recovery/state_recovery.hpp"
+
+#include <algorithm>
+#include <string_view>
+#include <utility>
+
+#include "log.hpp"
+
+namespace larkroad::coordination {
+
+StateRecovery::StateRecovery(transport::Clock& clock, storage::KeyValueClient& store,
+                             Leadership& leadership, const Settings& settings,
+                             ClusterState& cluster, GarbageCollector& garbage, Callbacks callbacks)
+    : clock_(clock),
+      leadership_(leadership),
+      cluster_(cluster),
+      garbage_(garbage),
+      callbacks_(std::move(callbacks)),
+      reader_(clock, store, settings) {}
+
+void StateRecovery::start(Seconds term_began_at) {
+  reader_.cancel();
+  term_began_at_ = term_began_at;
+  jobs_revision_ = 0;
+  placements_.clear();
+  state_ = {};
+  read_jobs();
+}
+
+void StateRecovery::read_jobs() {
+  reader_.read(
+      storage::kJobPrefix, [this](PagedReader::Page& page) { apply_jobs(page); },
+      [this] { read_placements(); });
+}
+
+void StateRecovery::apply_jobs(const PagedReader::Page& page) {
+  if (jobs_revision_ == 0) {
+    jobs_revision_ = page.reply.revision;
+    state_.jobs_requested_at = page.requested_at;
+    callbacks_.watch_from(jobs_revision_);
+  }
+  for (const auto& entry : page.reply.entries) callbacks_.apply_job(entry);
+}
+
+void StateRecovery::read_placements() {
+  reader_.read(
+      storage::kPlacementPrefix,
+      [this](PagedReader::Page& page) {
+        for (auto& entry : page.reply.entries) placements_.push_back(std::move(entry));
+      },
+      [this] { read_images(); });
+}
+
+void StateRecovery::read_images() {
+  reader_.read(
+      storage::kMachinePrefix,
+      [this](PagedReader::Page& page) {
+        for (const auto& entry : page.reply.entries) apply_images(entry);
+      },
+      [this] { finish(); });
+}
+
+// What a machine holds only saves time, so that a record which cannot be read is left out.
+void StateRecovery::apply_images(const storage::Entry& entry) {
+  const std::string machine = entry.key.substr(std::string_view(storage::kMachinePrefix).size());
+  try {
+    state_.images[machine] = storage::decode_images(entry.data);
+  } catch (const std::exception& error) {
+    spdlog::error("record invalid: key={} error=\"{}\"", entry.key, error.what());
+  }
+}
+
+void StateRecovery::finish() {
+  if (!restore_placements()) return;
+  restore_machines();
+  restore_gangs();
+  callbacks_.recovered(std::move(state_));
+}
+
+// False when a record cannot be read, which has ended the term.
+bool StateRecovery::restore_placements() {
+  const Seconds now = clock_.now();
+  const std::vector<storage::Entry> entries = std::exchange(placements_, {});
+  for (const auto& entry : entries) {
+    std::string id;
+    std::uint32_t shard = 0;
+    if (!storage::parse_placement_key(entry.key, id, shard)) continue;
+    Job* job = cluster_.job(id);
+    if (job == nullptr) {
+      garbage_.add(entry.key);
+      continue;
+    }
+    try {
+      restore_placement(*job, shard, entry, now);
+    } catch (const std::exception& error) {
+      spdlog::error("record invalid: key={} error=\"{}\"", entry.key, error.what());
+      leadership_.resign("a placement record cannot be read");
+      return false;
+    }
+  }
+  return true;
+}
+
+void StateRecovery::restore_placement(Job& job, std::uint32_t shard, const storage::Entry& entry,
+                                      Seconds now) {
+  const auto record = storage::decode_placement_record(entry.data);
+  state_.placed_tasks += record.placed.size();
+  // An earlier leader's launches may still be on their way, under any token below this one.
+  cluster_.restore_placements(job, shard, record, entry.revision, leadership_.fencing_token() - 1,
+                              now);
+}
+
+void StateRecovery::restore_machines() {
+  for (auto& [name, machine] : cluster_.machines()) {
+    // The leader before this one may have answered its heartbeats until its own bound.
+    machine.lease_renewed_at =
+        std::max(machine.lease_renewed_at, term_began_at_ + leadership_.retention());
+    machine.known_to_exist_at = term_began_at_;
+  }
+}
+
+// Whether an earlier leader saw the gang run is not recorded: it counts as started, so that it is
+// aborted as a whole when one of its tasks is lost.
+void StateRecovery::restore_gangs() {
+  for (const auto& [id, job] : cluster_.jobs()) {
+    if (job->spec.is_gang() && job->placements.size() > 1) job->gang_started = true;
+  }
+}
+
+}  // namespace larkroad::coordination
--- a/tests/cloud_reconciler_test.cpp
+++ b/tests/cloud_reconciler_test.cpp
@@ -72,6 +72,9 @@
  public:
   bool leads() const override { return leading; }
   std::uint64_t fencing_token() const override { return 7; }
+  void view_proved(Seconds) override {}
+  Seconds view_interval() const override { return 1; }
+  Seconds retention() const override { return 0; }
   void resign(const std::string&) override {}
 
   bool leading = true;
