--- /dev/null
+++ b/tests/job_watch_test.cpp
@@ -0,0 +1,163 @@
+// The watch on the records of jobs, made alone: the test answers for the key-value store.
+#include "coordination/recovery/job_watch.hpp"
+
+#include <gtest/gtest.h>
+
+#include <deque>
+
+#include "support.hpp"
+
+namespace larkroad::coordination {
+namespace {
+
+using transport::Outcome;
+using transport::Request;
+
+// Timers are kept and never fire: no case here waits.
+class StoppedClock : public transport::Clock {
+ public:
+  Seconds now() const override { return 1000; }
+  Seconds unix_time() const override { return 1000; }
+  transport::TimerId after(Seconds, std::function<void()>) override { return ++last_timer_; }
+  void cancel(transport::TimerId) override {}
+
+ private:
+  transport::TimerId last_timer_ = 0;
+};
+
+class RecordingClient : public transport::Client {
+ public:
+  void call(const std::string&, Request request, Seconds, transport::OnReply reply) override {
+    requests.push_back(std::move(request));
+    replies.push_back(std::move(reply));
+  }
+
+  std::vector<Request> requests;
+  std::deque<transport::OnReply> replies;
+};
+
+class RecordingLeadership : public Leadership {
+ public:
+  bool leads() const override { return true; }
+  std::uint64_t fencing_token() const override { return 7; }
+  void view_proved(Seconds) override {}
+  Seconds view_interval() const override { return 1; }
+  Seconds retention() const override { return 0; }
+  void resign(const std::string& reason) override { resigned_for = reason; }
+
+  std::string resigned_for;
+};
+
+class JobWatchTest : public ::testing::Test {
+ protected:
+  JobWatchTest()
+      : settings_(testing::settings()),
+        store_(clock_, client_, settings_),
+        cluster_(settings_),
+        watch_(clock_, store_, leadership_, settings_, cluster_,
+               {[this](Job& job) {
+                  job.cancelled = true;
+                  cancelled_.push_back(job.id());
+                },
+                [this](Job& job) { persisted_.push_back(job.id()); },
+                [this] { ++plans_requested_; }}) {
+    watch_.begin_term();
+  }
+
+  static storage::Json record(bool cancelled = false) {
+    return storage::encode(storage::JobRecord{testing::spec("job-1"), 0, 64, cancelled});
+  }
+
+  StoppedClock clock_;
+  RecordingClient client_;
+  Settings settings_;
+  storage::KeyValueClient store_;
+  ClusterState cluster_;
+  RecordingLeadership leadership_;
+  std::vector<std::string> cancelled_;
+  std::vector<std::string> persisted_;
+  int plans_requested_ = 0;
+  JobWatch watch_;
+};
+
+TEST_F(JobWatchTest, EntersJobsWithoutAnyEffectUntilTheStateIsRecovered) {
+  watch_.apply("job-1", record(true), 5);
+  ASSERT_NE(cluster_.job("job-1"), nullptr);
+  EXPECT_TRUE(cluster_.job("job-1")->cancelled);
+  EXPECT_TRUE(cancelled_.empty());
+  EXPECT_EQ(plans_requested_, 0);
+}
+
+TEST_F(JobWatchTest, ANewJobIsPlannedAndACancellationCarriedOut) {
+  watch_.set_recovered();
+  watch_.apply("job-1", record(), 5);
+  EXPECT_EQ(plans_requested_, 1);
+  watch_.apply("job-1", record(true), 6);
+  EXPECT_EQ(cancelled_, std::vector<std::string>{"job-1"});
+  EXPECT_EQ(cluster_.job("job-1")->revision, 6u);
+}
+
+TEST_F(JobWatchTest, AnOlderRecordNeverReplacesANewerOne) {
+  watch_.set_recovered();
+  watch_.apply("job-1", record(), 6);
+  watch_.apply("job-1", record(true), 5);
+  EXPECT_TRUE(cancelled_.empty());
+  EXPECT_EQ(cluster_.job("job-1")->revision, 6u);
+}
+
+// The watch may be behind what this leader has written.
+TEST_F(JobWatchTest, AFinishedJobDoesNotComeBack) {
+  watch_.set_recovered();
+  watch_.job_finished("job-1", 8);
+  watch_.apply("job-1", record(), 5);
+  EXPECT_EQ(cluster_.job("job-1"), nullptr);
+  watch_.apply("job-1", record(), 9);
+  EXPECT_NE(cluster_.job("job-1"), nullptr) << "submitted anew under the same name";
+}
+
+TEST_F(JobWatchTest, ARecordThatCannotBeReadIsLeftOut) {
+  watch_.set_recovered();
+  watch_.apply("job-1", storage::Json::object(), 5);
+  EXPECT_EQ(cluster_.job("job-1"), nullptr);
+  EXPECT_EQ(leadership_.resigned_for, "");
+}
+
+TEST_F(JobWatchTest, APeersCancellationHoldsUntilTheRecordSaysOtherwise) {
+  EXPECT_FALSE(watch_.cancelled_by_peer("job-1"));
+  watch_.set_recovered();
+  watch_.apply("job-1", record(), 5);
+  EXPECT_TRUE(watch_.cancelled_by_peer("job-1"));
+  EXPECT_EQ(cancelled_, std::vector<std::string>{"job-1"});
+  Job& job = *cluster_.job("job-1");
+  EXPECT_TRUE(job.cancelled_by_peer);
+  job.write_in_flight = true;
+  watch_.refresh("job-1");
+  ASSERT_EQ(client_.replies.size(), 1u);
+  const storage::Json entry{{"k", "j/job-1"}, {"data", record()}, {"mark", 5}};
+  client_.replies[0](Outcome::answered, {200, entry.dump()});
+  EXPECT_FALSE(job.write_in_flight);
+  EXPECT_FALSE(job.cancelled);
+  EXPECT_EQ(persisted_, std::vector<std::string>{"job-1"});
+}
+
+TEST_F(JobWatchTest, EndsTheTermWhenTheRecordIsMissing) {
+  watch_.set_recovered();
+  watch_.apply("job-1", record(), 5);
+  watch_.refresh("job-1");
+  ASSERT_EQ(client_.replies.size(), 1u);
+  client_.replies[0](Outcome::answered, {404, "{}"});
+  EXPECT_NE(leadership_.resigned_for, "");
+}
+
+TEST_F(JobWatchTest, IgnoresAnswersOfAnEarlierTerm) {
+  watch_.set_recovered();
+  watch_.apply("job-1", record(), 5);
+  watch_.refresh("job-1");
+  ASSERT_EQ(client_.replies.size(), 1u);
+  watch_.end_term();
+  client_.replies[0](Outcome::answered, {404, "{}"});
+  EXPECT_EQ(leadership_.resigned_for, "");
+}
+
+}  // namespace
+}  // namespace larkroad::coordination
