--- a/src/coordination/leader/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -11,17 +11,6 @@
 constexpr double kScalingRatio = 1.0 / 3;
 // Steady clocks drift apart by 0.05%; twice that is allowed for.
 constexpr double kDrift = 0.001;
-// The room of a planning round for what else the process does: a part of a tick.
-constexpr double kPlanBudgetRatio = 1.0 / 20;
-// Reports and decisions are gathered for this part of the report interval before planning.
-constexpr double kPlanDelayRatio = 1.0 / 300;
-// A round of planning is followed by a pause of this many times what it took: the process has
-// reports and users to answer, too.
-constexpr double kPlanPause = 3;
-// A leader that is this part of the report interval behind with its work starts no more work of low
-// priority until it has caught up: each task costs it calls, reports and writes, and workers whose
-// reports are not answered in time end all that they run.
-constexpr double kOverloadRatio = 1.0 / 8;
 
 }  // namespace
 
@@ -45,6 +34,8 @@
       job_watch_(clock, store, leadership_, settings, cluster_, job_watch_callbacks()),
       state_recovery_(clock, store, leadership_, settings, cluster_, garbage_,
                       state_recovery_callbacks()),
+      scheduling_loop_(clock, leadership_, settings, cluster_, gang_reservations_, lag_, activity_,
+                       scheduling_loop_callbacks()),
       cloud_(clock, client, leadership_, settings, catalog, cluster_, removed_machines_, activity_,
              {[this](Machine& machine) { inspect(machine); },
               [this](Machine& machine, const std::string& reason) { all_gone(machine, reason); },
@@ -69,6 +60,15 @@
   };
 }
 
+SchedulingLoop::Callbacks Leader::scheduling_loop_callbacks() {
+  return {
+      [this](Job& job) { persist(job); },
+      [this](Job& job, Placement& placement, SchedulingLoop::StopMode mode) {
+        stop(job, placement, mode == SchedulingLoop::StopMode::graceful ? grace(job) : 0);
+      },
+  };
+}
+
 StateRecovery::Callbacks Leader::state_recovery_callbacks() {
   return {
       [this](const storage::Entry& entry) { job_watch_.apply(entry); },
@@ -91,10 +91,9 @@
   placement_writer_.begin_term();
   garbage_.begin_term();
   image_recorder_.begin_term();
+  scheduling_loop_.begin_term();
   cloud_.begin_term();
   loaded_images_.clear();
-  plan_armed_ = false;
-  plan_from_ = 0;
   queued_commands_.clear();
   sending_armed_ = false;
   lag_.reset();
@@ -112,6 +111,7 @@
   placement_writer_.end_term();
   garbage_.end_term();
   image_recorder_.end_term();
+  scheduling_loop_.end_term();
   cloud_.end_term();
   ready_ = false;
   loading_ = false;
@@ -125,6 +125,7 @@
   loading_ = false;
   job_watch_.set_recovered();
   placement_writer_.start();
+  scheduling_loop_.start();
   leadership_.view_proved(state.jobs_requested_at);
   cluster_.set_types(catalog_.types());
   ready_at_ = clock_.now();
@@ -193,7 +194,7 @@
     fenced_at_ = now;
     election_.raise_fencing_token();
   }
-  if (!gang_reservations_.all().empty() || plan_from_ != 0) request_plan();
+  if (!gang_reservations_.all().empty() || scheduling_loop_.is_unfinished()) request_plan();
   for (const auto& [id, job] : cluster_.jobs()) {
     if (job->waiting() > 0) {
       request_plan();
@@ -214,82 +215,6 @@
   garbage_.collect();
 }
 
-void Leader::request_plan() {
-  if (plan_armed_ || !ready_) return;
-  plan_armed_ = true;
-  const Seconds pause =
-      std::max(settings_.heartbeat_interval_s * kPlanDelayRatio, plan_next_ - clock_.now());
-  scope_.after(pause, [this] {
-    plan_armed_ = false;
-    make_plan();
-  });
-}
-
-void Leader::make_plan() {
-  if (!ready_ || !election_.leads()) return;
-  const Seconds begun = clock_.now();
-  CycleLimits limits;
-  limits.reservation_limit_s = settings_.operators.reservation_limit_s;
-  limits.start_bound_s = settings_.operators.start_bound_s;
-  limits.start_at = plan_from_;
-  limits.defers_low = lag_.lag() > settings_.heartbeat_interval_s * kOverloadRatio;
-  limits.out_of_time = [this, begun] {
-    return clock_.now() - begun > settings_.heartbeat_interval_s * kRetryRatio * kPlanBudgetRatio;
-  };
-  const Plan decided = plan(cluster_, gang_reservations_, begun, limits);
-  plan_from_ = decided.stopped_at;
-  for (const auto& assignment : decided.assignments) carry_out(assignment, limits.start_bound_s);
-  for (const auto& victim : decided.preemptions) {
-    Job* job = cluster_.job(victim.job);
-    if (job == nullptr) continue;
-    const auto it = job->placements.find(victim.task);
-    if (it == job->placements.end() || it->second.stage != Placement::Stage::acknowledged) continue;
-    spdlog::info("task {}/{} gives way to {}", victim.job, victim.task, victim.for_job);
-    stop(*job, it->second, victim.save ? grace(*job) : 0);
-  }
-  for (const auto& move : decided.moves) {
-    Job* job = cluster_.job(move.job);
-    if (job == nullptr || !job->placements.contains(move.task)) continue;
-    spdlog::info("replica {}/{} leaves machine {}", move.job, move.task, move.from);
-    stop(*job, job->placements.at(move.task), job->spec.checkpoint_s > 0 ? grace(*job) : 0);
-  }
-  ++activity_.planning_rounds;
-  activity_.planning_time += clock_.now() - begun;
-  plan_next_ = clock_.now() + (clock_.now() - begun) * kPlanPause;
-  if (plan_from_ != 0) request_plan();
-}
-
-void Leader::carry_out(const Assignment& assignment, Seconds start_bound) {
-  Job* job = cluster_.job(assignment.job);
-  if (job == nullptr) return;
-  if (job->spec.is_gang() && job->placements.empty()) {
-    for (const auto& [number, shard] : job->shards) {
-      job->gang_attempt = std::max(job->gang_attempt, shard.attempt);
-    }
-    ++job->gang_attempt;
-  }
-  if (aging_of(cluster_, *job, clock_.now(), start_bound) == Aging::urgent) job->aged = true;
-  for (const auto& [task, machine] : assignment.tasks) place_assigned(*job, task, machine);
-  spdlog::debug("job {}: {} tasks placed, first on {}", job->id(), assignment.tasks.size(),
-                assignment.tasks.front().second);
-  persist(*job);
-}
-
-void Leader::place_assigned(Job& job, std::uint32_t task, const std::string& name) {
-  const Seconds now = clock_.now();
-  const std::uint32_t number = job.shard_of(task);
-  const std::uint64_t attempt =
-      job.spec.is_gang() ? job.gang_attempt : job.shards[number].attempt + 1;
-  cluster_.place(job, task, cluster_.machine(name), attempt, now);
-  // The planner reckons with common lengths of names and numbers; what does not fit after all would
-  // keep the whole record from being written.
-  if (cluster_.has_oversized_shards(job) && cluster_.record_bytes_left(job, number) == 0) {
-    cluster_.unplace(job, task, now);
-    return;
-  }
-  job.shards[number].write(now);
-}
-
 std::unordered_map<std::string, UserApi::Progress> Leader::progress() const {
   std::unordered_map<std::string, UserApi::Progress> out;
   for (const auto& [id, job] : cluster_.jobs()) {
--- a/src/coordination/leader/leader.hpp
+++ b/src/coordination/leader/leader.hpp
@@ -1,6 +1,9 @@
-// What the leading node does: keeps the cluster true to records and reports, and runs the loops
-// that bring what is towards what is wanted. All I/O of the leader is here; what to do is decided
-// by the planner and the fleet.
+/// The leader: owns the cluster's state for a term of leadership, and wires up its parts.
+///
+/// The parts have their own state and tell each other what happened by callbacks that are set here:
+/// StateRecovery and JobWatch read the records, PlacementWriter, GarbageCollector and ImageRecorder
+/// write them, SchedulingLoop places tasks, and CloudReconciler rents and releases machines. The
+/// Controller begins a term when the election is won and ends it when leadership is lost.
 #pragma once
 
 #include <functional>
@@ -14,6 +17,7 @@
 #include "coordination/election/election.hpp"
 #include "coordination/election/leadership.hpp"
 #include "coordination/leader/lag_meter.hpp"
+#include "coordination/leader/scheduling_loop.hpp"
 #include "coordination/records/garbage_collector.hpp"
 #include "coordination/records/image_recorder.hpp"
 #include "coordination/records/placement_writer.hpp"
@@ -127,10 +131,8 @@
 
   // Loops.
   void run_periodic_tasks();
-  void request_plan();
-  void make_plan();
-  void carry_out(const Assignment& assignment, Seconds start_bound);
-  void place_assigned(Job& job, std::uint32_t task, const std::string& machine);
+  void request_plan() { scheduling_loop_.request_cycle(); }
+  SchedulingLoop::Callbacks scheduling_loop_callbacks();
   void run_scaling_loop();
   void machine_removed(const std::string& machine);
 
@@ -152,9 +154,6 @@
   GangReservations gang_reservations_;
   RelayAssignment relay_assignment_;
   std::map<std::string, storage::Images> loaded_images_;
-  bool plan_armed_ = false;
-  size_t plan_from_ = 0;
-  Seconds plan_next_ = 0;  // no round before this
   bool fence_wanted_ = false;
   Seconds fenced_at_ = 0;
   // Commands that are about to be sent, by machine, and the session that they are for.
@@ -175,6 +174,7 @@
   PlacementWriter placement_writer_;
   JobWatch job_watch_;
   StateRecovery state_recovery_;
+  SchedulingLoop scheduling_loop_;
   CloudReconciler cloud_;
 };
 
