--- a/src/coordination/api/request_forwarder.cpp
+++ b/src/coordination/api/request_forwarder.cpp
@@ -6,8 +6,8 @@
 #include <utility>
 
 #include "log.hpp"
-#include "protocol/user_routes.hpp"
 #include "protocol/peer_messages.hpp"
+#include "protocol/user_routes.hpp"
 
 namespace larkroad::coordination {
 namespace {
--- a/src/coordination/cluster_state/cluster_state.cpp
+++ b/src/coordination/cluster_state/cluster_state.cpp
@@ -71,8 +71,7 @@
   requeue_waiting(job, range);
 }
 
-void ClusterState::restore_done(Job& job,
-                                const std::vector<storage::TaskRange>& ranges,
+void ClusterState::restore_done(Job& job, const std::vector<storage::TaskRange>& ranges,
                                 std::uint32_t end) {
   for (const auto& [from, to] : ranges) {
     for (std::uint32_t task = from; task <= to && task < end; ++task) {
--- a/src/coordination/cluster_state/cluster_state.hpp
+++ b/src/coordination/cluster_state/cluster_state.hpp
@@ -118,8 +118,8 @@
     std::uint32_t end;
   };
   static ShardBounds tasks_of_shard(const Job& job, std::uint32_t shard);
-  static void restore_done(Job& job,
-                           const std::vector<storage::TaskRange>& ranges, std::uint32_t end);
+  static void restore_done(Job& job, const std::vector<storage::TaskRange>& ranges,
+                           std::uint32_t end);
   void restore_placement(Job& job, const storage::PlacedTask& placed,
                          std::uint64_t uncertain_fencing_token, Seconds now);
   static void requeue_waiting(Job& job, const ShardBounds& shard);
--- a/src/coordination/controller/controller.cpp
+++ b/src/coordination/controller/controller.cpp
@@ -123,11 +123,9 @@
 }
 
 void Controller::step_down_if_unreachable() {
-  if (!election_.leads()) return;
+  if (!election_.is_leader()) return;
   const Seconds now = clock_.now();
-  const Seconds since = leader_.unreachable_by_workers_since();
-  const auto unreachable_since = since < 0 ? std::nullopt : std::optional(since);
-  if (unreachable_leader_watch_.should_step_down(unreachable_since,
+  if (unreachable_leader_watch_.should_step_down(leader_.newest_heartbeat_at(),
                                                  peers_.any_receives_heartbeats(now), now)) {
     election_.step_down("workers reach its peers but not this controller",
                         unreachable_leader_watch_.abstention());
--- a/src/coordination/controller/heartbeat_router.cpp
+++ b/src/coordination/controller/heartbeat_router.cpp
@@ -38,10 +38,10 @@
 }
 
 void HeartbeatRouter::route(PendingHeartbeat pending) {
-  components_.election.superseded(pending.heartbeat.fencing_token);
+  components_.election.observe_fencing_token(pending.heartbeat.fencing_token);
   if (must_wait_for_loading(pending.loading_deadline)) {
     retry_after_loading_pause([this, pending = std::move(pending)] { route(pending); });
-  } else if (components_.election.may_answer_reports()) {
+  } else if (components_.election.may_answer_heartbeats()) {
     process_as_leader(pending);
   } else {
     relay_or_redirect(std::move(pending));
@@ -52,8 +52,9 @@
   pending.respond(components_.leader.handle_heartbeat(pending.heartbeat));
   // Past its lease the leader announces nothing, so it would find the change again with each
   // heartbeat.
-  if (components_.election.leads() &&
-      components_.leader.relay_assignment().distributes_workers() != components_.announcements.last_sent()) {
+  if (components_.election.is_leader() &&
+      components_.leader.relay_assignment().distributes_workers() !=
+          components_.announcements.last_sent()) {
     on_distribution_changed();
   }
 }
@@ -61,12 +62,13 @@
 void HeartbeatRouter::relay_or_redirect(PendingHeartbeat pending) {
   update_relay_target();
   Relay& relay = components_.relay;
-  if ((components_.announcements.workers_distributed() && relay.works()) || relay.uses_store()) {
-    relay.take(std::move(pending.payload), std::move(pending.heartbeat),
-               std::move(pending.respond));
+  if ((components_.announcements.workers_distributed() && relay.leader_reachable()) ||
+      relay.uses_store_route()) {
+    relay.forward(std::move(pending.payload), std::move(pending.heartbeat),
+                  std::move(pending.respond));
     return;
   }
-  const std::string& leader = relay.aimed_at();
+  const std::string& leader = relay.leader();
   const bool leader_elsewhere = leader != settings_.member;
   pending.respond({421, protocol::encode_redirect(leader_elsewhere ? leader : ""), 0, true});
 }
@@ -94,7 +96,7 @@
   Leader& leader = components_.leader;
   if (must_wait_for_loading(pending.loading_deadline)) {
     retry_after_loading_pause([this, pending = std::move(pending)] { process_batch(pending); });
-  } else if (!election.may_answer_reports()) {
+  } else if (!election.may_answer_heartbeats()) {
     pending.respond({421, protocol::encode_redirect(election.leader()), 0});
   } else if (!leader.is_own_fencing_token(pending.batch.fencing_token)) {
     pending.respond({409, protocol::encode_fencing_token(election.fencing_token()), 0});
@@ -110,13 +112,13 @@
   const auto* announcement =
       components_.announcements.current(election.leader_revision(), clock_.now());
   if (announcement != nullptr) {
-    relay.aim(announcement->member, announcement->fencing_token);
+    relay.set_leader(announcement->member, announcement->fencing_token);
   } else {
-    relay.aim(election.leader(), election.leader_revision());
+    relay.set_leader(election.leader(), election.leader_revision());
   }
   // A leader of the first version would not look for batches in the store.
-  relay.allow_store(components_.store.failing_for() == 0 &&
-                    components_.versions.all_understand(kServicesVersion));
+  relay.allow_store_route(components_.store.failing_for() == 0 &&
+                          components_.versions.all_understand(kServicesVersion));
 }
 
 bool HeartbeatRouter::receives_heartbeats() const {
--- a/src/coordination/leader/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -7,32 +7,24 @@
 namespace larkroad::coordination {
 namespace {
 
-// The room of a planning round for what else the process does: a part of a tick.
-constexpr double kPlanBudgetRatio = 1.0 / 20;
-// Reports and decisions are gathered for this part of the report interval before planning.
-constexpr double kPlanDelayRatio = 1.0 / 300;
-// A round of planning is followed by a pause of this many times what it took: the process has
-// reports and users to answer, too.
-constexpr double kPlanPause = 3;
-// A leader that is this part of the report interval behind with its work starts no more work of low
-// priority until it has caught up: each task costs it calls, reports and writes, and workers whose
-// reports are not answered in time end all that they run.
-constexpr double kOverloadRatio = 1.0 / 8;
+// The period of scaling rounds, as a part of the heartbeat interval.
+constexpr double kScalingRatio = 1.0 / 3;
 
 }  // namespace
 
 Leader::Leader(transport::Clock& clock, transport::Client& client, storage::KeyValueClient& store,
                Election& election, MachineCatalog& catalog, const Settings& settings)
     : clock_(clock),
-      client_(client),
-      store_(store),
       election_(election),
+      leadership_(election),
       catalog_(catalog),
       settings_(settings),
-      transaction_changes_(settings.lasting_store_limits().max_transaction_changes),
       scope_(clock),
       cluster_(settings),
       relay_assignment_(settings),
+      transaction_limit_(settings.lasting_store_limits().max_transaction_changes),
+      garbage_(clock, store, leadership_, settings, transaction_limit_),
+      image_recorder_(clock, store, leadership_, settings, transaction_limit_, cluster_),
       command_dispatcher_(clock, client, cluster_, settings, command_dispatcher_callbacks()),
       machine_health_(clock, cluster_, settings, machine_health_callbacks()),
       failure_tracker_(clock, cluster_, settings),
@@ -42,12 +34,21 @@
       heartbeat_processor_(clock, cluster_, election, settings, machine_health_, task_evictor_,
                            task_reconciler_, removed_machines_,
                            [this](Machine& machine) { restore_images(machine); }),
-      heartbeat_endpoint_(clock, cluster_, election, relay_assignment_, heartbeat_processor_) {}
+      heartbeat_endpoint_(clock, cluster_, election, relay_assignment_, heartbeat_processor_),
+      placement_writer_(clock, store, leadership_, settings, transaction_limit_, cluster_, garbage_,
+                        placement_writer_callbacks()),
+      job_watch_(clock, store, leadership_, settings, cluster_, job_watch_callbacks()),
+      state_recovery_(clock, store, leadership_, settings, cluster_, garbage_,
+                      state_recovery_callbacks()),
+      scheduling_loop_(clock, leadership_, settings, cluster_, gang_reservations_, lag_, activity_,
+                       scheduling_loop_callbacks()),
+      cloud_(clock, client, leadership_, settings, catalog, cluster_, removed_machines_, activity_,
+             cloud_reconciler_callbacks()) {}
 
-void Leader::begin(bool spread) {
+void Leader::begin(bool distributes_workers) {
   scope_.restart();
   command_dispatcher_.restart();
-  relay_assignment_.reset(spread);
+  relay_assignment_.reset(distributes_workers);
   ready_ = false;
   loading_ = true;
   begun_at_ = clock_.now();
@@ -55,36 +56,71 @@
   cluster_.clear();
   cluster_.set_day_offset(clock_.unix_time() - clock_.now());
   gang_reservations_.clear();
-  capacity_backoff_.clear();
-  loaded_placements_.clear();
-  loaded_images_.clear();
-  recording_images_ = false;
-  garbage_.clear();
-  finished_.clear();
-  removed_machines_.clear();
-  pending_rentals_.clear();
-  rentals_ = 0;
-  listing_ = false;
-  listed_once_ = false;
-  plan_armed_ = false;
-  plan_from_ = 0;
-  dropping_ = false;
+  job_watch_.begin_term();
+  placement_writer_.begin_term();
+  garbage_.begin_term();
+  image_recorder_.begin_term();
+  scheduling_loop_.begin_term();
+  cloud_.begin_term();
+  recovered_images_.clear();
   lag_.reset();
   next_periodic_run_ = kNoLimit;
-  watched_to_ = 0;
   cluster_.set_types(catalog_.types());
-  load_jobs("");
+  state_recovery_.start(begun_at_);
 }
 
 void Leader::end() {
   scope_.restart();
   command_dispatcher_.restart();
+  state_recovery_.end_term();
+  job_watch_.end_term();
+  placement_writer_.end_term();
+  garbage_.end_term();
+  image_recorder_.end_term();
+  scheduling_loop_.end_term();
+  cloud_.end_term();
   ready_ = false;
   loading_ = false;
   cluster_.clear();
   gang_reservations_.clear();
 }
 
+void Leader::recovered(RecoveredState state) {
+  recovered_images_ = std::move(state.images);
+  ready_ = true;
+  loading_ = false;
+  job_watch_.set_recovered();
+  placement_writer_.start();
+  scheduling_loop_.start();
+  leadership_.confirm_view(state.jobs_requested_at);
+  cluster_.set_types(catalog_.types());
+  ready_at_ = clock_.now();
+  spdlog::info("state recovered: jobs={} placed_tasks={} duration_ms={:.0f}",
+               cluster_.jobs().size(), state.placed_tasks, (ready_at_ - begun_at_) * 1000);
+  resume_finished_jobs();
+  job_watch_.start();
+  run_periodic_tasks();
+  run_scaling_loop();
+  cloud_.start(ready_at_);
+  garbage_.collect();
+  request_plan();
+}
+
+// Takes up again what an earlier leader did not get done of jobs that are cancelled or finished.
+void Leader::resume_finished_jobs() {
+  std::vector<std::string> ids;  // a copy: what follows may remove jobs
+  for (const auto& [id, job] : cluster_.jobs()) ids.push_back(id);
+  for (const auto& id : ids) {
+    Job* job = cluster_.job(id);
+    if (job == nullptr) continue;
+    if (job->cancelled) {
+      cancel_job(*job);
+    } else if (job->is_finished()) {
+      persist(*job);
+    }
+  }
+}
+
 void Leader::types_changed() {
   if (ready_) cluster_.set_types(catalog_.types());
 }
@@ -92,20 +128,20 @@
 void Leader::run_periodic_tasks() {
   const Seconds now = clock_.now();
   lag_.fired(next_periodic_run_, now);
-  next_periodic_run_ = now + settings_.heartbeat_interval_s * kRetryRatio;
-  scope_.after(settings_.heartbeat_interval_s * kRetryRatio, [this] { run_periodic_tasks(); });
-  if (!election_.leads()) return;
+  next_periodic_run_ = now + settings_.heartbeat_interval_s * kPeriodRatio;
+  scope_.after(settings_.heartbeat_interval_s * kPeriodRatio, [this] { run_periodic_tasks(); });
+  if (!election_.is_leader()) return;
   machine_health_.expire_leases();
   machine_health_.check_unreachable();
-  relay_assignment_.rebalance(listed_once_ ? std::optional(cluster_.machines().size()) : std::nullopt,
-                          now);
+  relay_assignment_.rebalance(
+      cloud_.has_listed() ? std::optional(cluster_.machines().size()) : std::nullopt, now);
   for (const auto& [id, job] : cluster_.jobs()) {
     if (job->write_in_flight) continue;
     persist(*job);
-    if (!job->write_in_flight) shrink_shards(*job);
+    if (!job->write_in_flight) placement_writer_.shrink_shards(*job);
   }
   command_dispatcher_.raise_fencing_token_if_due();
-  if (!gang_reservations_.all().empty() || plan_from_ != 0) request_plan();
+  if (!gang_reservations_.all().empty() || scheduling_loop_.is_unfinished()) request_plan();
   for (const auto& [id, job] : cluster_.jobs()) {
     if (job->waiting() > 0) {
       request_plan();
@@ -114,80 +150,55 @@
   }
 }
 
-void Leader::request_plan() {
-  if (plan_armed_ || !ready_) return;
-  plan_armed_ = true;
-  const Seconds pause =
-      std::max(settings_.heartbeat_interval_s * kPlanDelayRatio, plan_next_ - clock_.now());
-  scope_.after(pause, [this] {
-    plan_armed_ = false;
-    make_plan();
-  });
+void Leader::run_scaling_loop() {
+  scope_.after(settings_.heartbeat_interval_s * kScalingRatio, [this] { run_scaling_loop(); });
+  image_recorder_.record();
+  const HeartbeatProcessor::Counts processed = heartbeat_processor_.take_counts();
+  activity_.heartbeats += processed.heartbeats;
+  activity_.reported_tasks += processed.reported_tasks;
+  activity_.direct_calls += command_dispatcher_.take_sent_calls();
+  log_fleet_usage(cluster_, activity_);
+  cloud_.run_scaling_round();
 }
 
-void Leader::make_plan() {
-  if (!ready_ || !election_.leads()) return;
-  const Seconds begun = clock_.now();
-  CycleLimits limits;
-  limits.reservation_limit_s = settings_.operators.reservation_limit_s;
-  limits.start_bound_s = settings_.operators.start_bound_s;
-  limits.start_at = plan_from_;
-  limits.defers_low = lag_.lag() > settings_.heartbeat_interval_s * kOverloadRatio;
-  limits.out_of_time = [this, begun] {
-    return clock_.now() - begun > settings_.heartbeat_interval_s * kRetryRatio * kPlanBudgetRatio;
-  };
-  const Plan decided = plan(cluster_, gang_reservations_, begun, limits);
-  plan_from_ = decided.stopped_at;
-  for (const auto& assignment : decided.assignments) carry_out(assignment, limits.start_bound_s);
-  for (const auto& victim : decided.preemptions) {
-    Job* job = cluster_.job(victim.job);
-    if (job == nullptr) continue;
-    const auto it = job->placements.find(victim.task);
-    if (it == job->placements.end() || it->second.stage != Placement::Stage::acknowledged) continue;
-    spdlog::info("task {}/{} gives way to {}", victim.job, victim.task, victim.for_job);
-    stop(*job, it->second, victim.save ? grace(*job) : 0);
-  }
-  for (const auto& move : decided.moves) {
-    Job* job = cluster_.job(move.job);
-    if (job == nullptr || !job->placements.contains(move.task)) continue;
-    spdlog::info("replica {}/{} leaves machine {}", move.job, move.task, move.from);
-    stop(*job, job->placements.at(move.task), job->spec.checkpoint_s > 0 ? grace(*job) : 0);
-  }
-  ++activity_.planning_rounds;
-  activity_.planning_time += clock_.now() - begun;
-  plan_next_ = clock_.now() + (clock_.now() - begun) * kPlanPause;
-  if (plan_from_ != 0) request_plan();
+// A machine that sends its first heartbeat holds the images that an earlier leader recorded.
+void Leader::restore_images(Machine& machine) {
+  const auto it = recovered_images_.find(machine.name);
+  if (it == recovered_images_.end()) return;
+  const Seconds now = clock_.now();
+  for (const auto& [image, gb] : it->second) machine.images[image] = {gb, now};
+  recovered_images_.erase(it);
 }
 
-void Leader::carry_out(const Assignment& assignment, Seconds start_bound) {
-  Job* job = cluster_.job(assignment.job);
-  if (job == nullptr) return;
-  if (job->spec.is_gang() && job->placements.empty()) {
-    for (const auto& [number, shard] : job->shards) {
-      job->gang_attempt = std::max(job->gang_attempt, shard.attempt);
-    }
-    ++job->gang_attempt;
-  }
-  if (aging_of(cluster_, *job, clock_.now(), start_bound) == Aging::urgent) job->aged = true;
-  for (const auto& [task, machine] : assignment.tasks) place_assigned(*job, task, machine);
-  spdlog::debug("job {}: {} tasks placed, first on {}", job->id(), assignment.tasks.size(),
-                assignment.tasks.front().second);
-  persist(*job);
+void Leader::machine_removed(const std::string& machine) {
+  garbage_.add(storage::kMachinePrefix + machine);
+  garbage_.collect();
 }
 
-void Leader::place_assigned(Job& job, std::uint32_t task, const std::string& name) {
-  const Seconds now = clock_.now();
-  const std::uint32_t number = job.shard_of(task);
-  const std::uint64_t attempt =
-      job.spec.is_gang() ? job.gang_attempt : job.shards[number].attempt + 1;
-  cluster_.place(job, task, cluster_.machine(name), attempt, now);
-  // The planner reckons with common lengths of names and numbers; what does not fit after all would
-  // keep the whole record from being written.
-  if (cluster_.has_oversized_shards(job) && cluster_.record_bytes_left(job, number) == 0) {
-    cluster_.unplace(job, task, now);
-    return;
+transport::Response Leader::handle_heartbeat(const protocol::Heartbeat& heartbeat,
+                                             const std::string& relay, RelayRoute route) {
+  return heartbeat_endpoint_.handle(heartbeat, relay, route, records_state());
+}
+
+std::vector<protocol::RelayedAnswer> Leader::handle_relayed_heartbeats(
+    const protocol::RelayBatch& batch, RelayRoute route) {
+  return heartbeat_endpoint_.handle_batch(batch, route, records_state());
+}
+
+std::optional<Seconds> Leader::newest_heartbeat_at() const {
+  if (!ready_) return std::nullopt;
+  const auto newest = machine_health_.newest_heartbeat_at();
+  if (!newest) return std::nullopt;
+  return std::max(ready_at_, *newest);
+}
+
+std::unordered_map<std::string, UserApi::Progress> Leader::progress() const {
+  std::unordered_map<std::string, UserApi::Progress> out;
+  for (const auto& [id, job] : cluster_.jobs()) {
+    const std::uint32_t running = job->running();
+    if (job->done_count > 0 || running > 0) out[id] = {job->done_count, running};
   }
-  job.shards[number].write(now);
+  return out;
 }
 
 }  // namespace larkroad::coordination
--- a/src/coordination/leader/leader.hpp
+++ b/src/coordination/leader/leader.hpp
@@ -1,22 +1,35 @@
-// What the leading node does: keeps the cluster true to records and reports, and runs the loops
-// that bring what is towards what is wanted. All I/O of the leader is here; what to do is decided
-// by the planner and the fleet.
+/// The leader: owns the cluster's state for a term of leadership, and wires up its parts.
+///
+/// The parts have their own state and tell each other what happened by callbacks that are set here:
+/// StateRecovery and JobWatch read the records, PlacementWriter, GarbageCollector and ImageRecorder
+/// write them, SchedulingLoop places tasks, CloudReconciler rents and releases machines, and the
+/// classes of workers/ take in heartbeats and send commands. The Controller begins a term when the
+/// election is won and ends it when leadership is lost.
 #pragma once
 
-#include <functional>
 #include <map>
-#include <set>
+#include <optional>
 #include <string>
+#include <unordered_map>
 #include <vector>
 
 #include "coordination/api/user_api.hpp"
 #include "coordination/cluster_state/cluster_state.hpp"
 #include "coordination/election/election.hpp"
+#include "coordination/election/leadership.hpp"
 #include "coordination/leader/lag_meter.hpp"
+#include "coordination/leader/scheduling_loop.hpp"
+#include "coordination/records/garbage_collector.hpp"
+#include "coordination/records/image_recorder.hpp"
+#include "coordination/records/placement_writer.hpp"
+#include "coordination/recovery/job_watch.hpp"
+#include "coordination/recovery/state_recovery.hpp"
 #include "coordination/relay/relay_assignment.hpp"
-#include "coordination/scaling/autoscaler.hpp"
+#include "coordination/scaling/cloud_reconciler.hpp"
+#include "coordination/scaling/fleet_usage.hpp"
 #include "coordination/scaling/machine_catalog.hpp"
-#include "coordination/scheduling/scheduler.hpp"
+#include "coordination/scaling/removed_machines.hpp"
+#include "coordination/scheduling/gang_reservations.hpp"
 #include "coordination/workers/command_dispatcher.hpp"
 #include "coordination/workers/failure_tracker.hpp"
 #include "coordination/workers/heartbeat_endpoint.hpp"
@@ -32,156 +45,102 @@
 
 namespace larkroad::coordination {
 
+/// One term of leadership after another, each with a cluster state of its own.
 class Leader {
  public:
+  using RelayRoute = coordination::RelayRoute;
+
   Leader(transport::Clock& clock, transport::Client& client, storage::KeyValueClient& store,
          Election& election, MachineCatalog& catalog, const Settings& settings);
 
-  void begin(
-      bool spread);  // elected: reads everything, then works; see RelayAssignment for `spread`
-  void end();        // deposed: forgets everything
+  /// Begins a term: reads the records, then works. `distributes_workers`: whether workers report to
+  /// all controllers at present, see RelayAssignment.
+  void begin(bool distributes_workers);
+  /// Ends the term and forgets its state.
+  void end();
+  /// The machine catalog has changed.
   void types_changed();
-  // Elected, but still reading the records: it can answer no report yet.
+  /// Whether the records are still being read, so that no heartbeat can be answered yet.
   bool loading() const { return loading_; }
-  // A cancellation that is durable, told by the node that made it so: the watch will bring it too,
-  // but that may take long, and a leader that the state service refuses would not hear of it in
-  // time. False when the job is not known here.
-  bool cancelled_by_peer(const std::string& id);
+  /// See JobWatch::cancelled_by_peer.
+  bool cancelled_by_peer(const std::string& id) { return job_watch_.cancelled_by_peer(id); }
 
-  using RelayRoute = coordination::RelayRoute;
-  // A worker's report, when this node may answer for the leader; `via`: the node that relays it,
-  // empty when it came here.
+  /// Answers a heartbeat; the election must allow that. `relay`: the controller that relays it,
+  /// empty when its worker sent it here.
   transport::Response handle_heartbeat(const protocol::Heartbeat& heartbeat,
-                                       const std::string& via = "",
+                                       const std::string& relay = "",
                                        RelayRoute route = RelayRoute::direct);
-  // The reports that a relay hands on, and the answers for their workers.
+  /// Answers each heartbeat of a batch, in its order.
   std::vector<protocol::RelayedAnswer> handle_relayed_heartbeats(const protocol::RelayBatch& batch,
                                                                  RelayRoute route);
-  // Whether a batch for the leader with this token is for this leadership.
+  /// Whether a batch for the leader with this fencing token is for this term.
   bool is_own_fencing_token(std::uint64_t fencing_token) const {
     return heartbeat_processor_.is_of_this_term(fencing_token);
   }
   RelayAssignment& relay_assignment() { return relay_assignment_; }
-  // Whether machines that reported are not heard any more, all of them at once: -1 when not, else
-  // since when.
-  Seconds unreachable_by_workers_since() const;
+  /// When the newest heartbeat came, if so many machines hold a lease that all of them being gone
+  /// at once would rather be a fault of this controller.
+  std::optional<Seconds> newest_heartbeat_at() const;
 
+  /// Tasks that run and that are done, by job, for display.
   std::unordered_map<std::string, UserApi::Progress> progress() const;
 
  private:
-  // Loops and retries, as a part of the workers' report interval.
-  static constexpr double kRetryRatio = 1.0 / 10;
-
-  // Loading.
-  void load_jobs(const std::string& after);
-  void load_placements(const std::string& after);
-  void load_images(const std::string& after);
-  void loaded();
-  void watch_jobs();
-  void apply_job(const std::string& id, const storage::Json& data, std::uint64_t revision);
-  void refresh_job(const std::string& id);
-
-  // Jobs and their records.
-  void cancel_job(Job& job);
-  void persist(Job& job);
-  void persisted(const std::string& id, const std::vector<std::uint32_t>& shards,
-                 const std::vector<storage::PlacedTask>& recorded,
-                 const std::vector<std::uint32_t>& done, const storage::CommitReply& reply);
-  void finish_job(Job& job);
-  // Lays out the records of a job anew that was accepted under larger limits of the state service.
-  void shrink_shards(Job& job);
-  void shards_shrunk(Job& job, std::uint32_t tasks_per_shard, std::uint64_t revision);
-  void handle_size_refusal(Job& job, const std::vector<std::uint32_t>& shards);
-  void drop_garbage();
-  void record_images();
-  void task_gone(Job& job, std::uint32_t task, const std::string& why);
-
-  // Workers.
+  // The period of the leader's checks, as a part of the workers' heartbeat interval.
+  static constexpr double kPeriodRatio = 1.0 / 10;
+
+  // Wiring: what the parts tell each other.
+  StateRecovery::Callbacks state_recovery_callbacks();
+  JobWatch::Callbacks job_watch_callbacks();
+  PlacementWriter::Callbacks placement_writer_callbacks();
+  SchedulingLoop::Callbacks scheduling_loop_callbacks();
+  CloudReconciler::Callbacks cloud_reconciler_callbacks();
   CommandDispatcher::Callbacks command_dispatcher_callbacks();
   MachineHealth::Callbacks machine_health_callbacks();
   TaskReconciler::Callbacks task_reconciler_callbacks();
+  void persist(Job& job) { placement_writer_.persist(job); }
+  void request_plan() { scheduling_loop_.request_cycle(); }
+
+  // Recovery.
+  void recovered(RecoveredState state);
+  void resume_finished_jobs();
+  void restore_images(Machine& machine);
   RecordsState records_state() const {
     return ready_ ? RecordsState::loaded : RecordsState::loading;
   }
-  void restore_images(Machine& machine);
-  // Short names for what the other parts of the leader call.
-  void launch(Job& job, const std::vector<std::uint32_t>& tasks) {
-    command_dispatcher_.launch(job, tasks);
-  }
-  void inspect(Machine& machine) { command_dispatcher_.query_status(machine); }
-  void stop(Job& job, Placement& placement, double grace_s) {
-    task_evictor_.stop(job, placement, grace_s);
-  }
-  double grace(const Job& job) const { return task_evictor_.checkpoint_grace(job); }
-  void all_gone(Machine& machine, const std::string& reason) {
-    task_reconciler_.end_all_tasks(machine, reason);
-  }
-  void abort_gang_attempt(Job& job, const std::string& why);
-  void remove_machine(const std::string& name, const std::string& why);
+
+  // Jobs and tasks.
+  void cancel_job(Job& job);
+  void task_gone(Job& job, std::uint32_t task, const std::string& reason);
+  void abort_gang_attempt(Job& job, const std::string& reason);
+  void machine_removed(const std::string& machine);
 
   // Loops.
   void run_periodic_tasks();
-  void request_plan();
-  void make_plan();
-  void carry_out(const Assignment& assignment, Seconds start_bound);
-  void place_assigned(Job& job, std::uint32_t task, const std::string& machine);
-  void scale();
-  void log_use();
-  void list_machines();
-  void list_page(const std::string& after, Seconds begun);
-  void listed(Seconds begun);
-  void request_machines(const Market& market, int count);
-  void send_rental_request(const protocol::RentalRequest& request);
-  void release_machines(const std::vector<std::string>& names);
+  void run_scaling_loop();
 
   transport::Clock& clock_;
-  transport::Client& client_;
-  storage::KeyValueClient& store_;
   Election& election_;
+  ElectionLeadership leadership_;
   MachineCatalog& catalog_;
   const Settings& settings_;
 
-  // How many changes the state service takes in one transaction, as far as is known.
-  int transaction_changes_;
   transport::CallbackScope scope_;  // of this term of leadership
   bool ready_ = false;
   bool loading_ = false;
-  Seconds loading_since_ = 0;  // when the first page of the jobs was asked for
   Seconds begun_at_ = 0;
   Seconds ready_at_ = 0;
   ClusterState cluster_;
   GangReservations gang_reservations_;
-  CapacityBackoff capacity_backoff_;
   RelayAssignment relay_assignment_;
-  std::uint64_t watched_to_ = 0;
-  std::vector<storage::Entry> loaded_placements_;
-  std::map<std::string, storage::Images> loaded_images_;
-  std::vector<std::string> garbage_;
-  // Jobs that this leader has finished, and when: a watch that is behind may still tell of them.
-  std::map<std::string, std::uint64_t> finished_;
-  bool dropping_ = false;
-  bool recording_images_ = false;
-  std::map<std::string, Seconds> removed_machines_;  // known to be gone, though lists lag
-  std::map<Market, int> pending_rentals_;
-  std::uint64_t rentals_ = 0;
-  bool listing_ = false;
-  bool listed_once_ = false;
-  Seconds catalog_asked_at_ = 0;
-  bool plan_armed_ = false;
-  size_t plan_from_ = 0;
-  Seconds plan_next_ = 0;  // no round before this
-  // How late the loop of ticks runs: what the process is behind with its work.
-  LagMeter lag_;
+  std::map<std::string, storage::Images> recovered_images_;  // by machine that has not reported yet
+  LagMeter lag_;  // how late the periodic checks run: what the process is behind with its work
   Seconds next_periodic_run_ = 0;
-  // What the leader did since the last line on the use of the fleet; for that line alone.
-  struct Activity {
-    int planning_rounds = 0;
-    Seconds planning_time = 0;
-    Seconds fleet_time = 0;
-  };
-  Activity activity_;
-
-  // The workers' side.
+  LeaderActivity activity_;
+  RemovedMachines removed_machines_;
+  TransactionLimit transaction_limit_;
+  GarbageCollector garbage_;
+  ImageRecorder image_recorder_;
   CommandDispatcher command_dispatcher_;
   MachineHealth machine_health_;
   FailureTracker failure_tracker_;
@@ -189,6 +148,11 @@
   TaskReconciler task_reconciler_;
   HeartbeatProcessor heartbeat_processor_;
   HeartbeatEndpoint heartbeat_endpoint_;
+  PlacementWriter placement_writer_;
+  JobWatch job_watch_;
+  StateRecovery state_recovery_;
+  SchedulingLoop scheduling_loop_;
+  CloudReconciler cloud_;
 };
 
 }  // namespace larkroad::coordination
--- a/src/coordination/workers/command_dispatcher.cpp
+++ b/src/coordination/workers/command_dispatcher.cpp
@@ -122,7 +122,7 @@
 
 bool CommandDispatcher::is_stale_launch(const Machine& machine, const Command& command) const {
   if (command.type != CommandType::launch) return false;
-  if (!callbacks_.leads()) return true;
+  if (!callbacks_.is_leader()) return true;
   const Job* job = std::as_const(cluster_).job(command.id.job);
   if (job == nullptr) return true;
   const auto it = job->placements.find(command.id.task);
@@ -171,7 +171,7 @@
   try {
     const auto heartbeat = protocol::parse_heartbeat(status);
     if (heartbeat.fencing_token > callbacks_.fencing_token()) {
-      callbacks_.superseded(heartbeat.fencing_token);
+      callbacks_.observe_fencing_token(heartbeat.fencing_token);
       return std::nullopt;
     }
     return callbacks_.process_heartbeat(heartbeat);
--- a/src/coordination/workers/command_dispatcher.hpp
+++ b/src/coordination/workers/command_dispatcher.hpp
@@ -40,13 +40,13 @@
   /// What the dispatcher needs of the leadership and of heartbeat processing.
   struct Callbacks {
     /// Whether this controller may act as the leader now.
-    std::function<bool()> leads;
+    std::function<bool()> is_leader;
     /// The present fencing token.
     std::function<std::uint64_t()> fencing_token;
     /// Replaces the fencing token by a higher one.
     std::function<void()> raise_fencing_token;
     /// A worker has seen this fencing token, which is higher than the present one.
-    std::function<void(std::uint64_t fencing_token)> superseded;
+    std::function<void(std::uint64_t fencing_token)> observe_fencing_token;
     /// Takes in the status that a worker returned, and returns the commands that follow from it.
     std::function<Commands(const protocol::Heartbeat& heartbeat)> process_heartbeat;
     /// A call reached the worker on this machine.
--- a/src/coordination/workers/heartbeat_endpoint.cpp
+++ b/src/coordination/workers/heartbeat_endpoint.cpp
@@ -39,7 +39,8 @@
                                               RecordsState records) {
   const Seconds now = clock_.now();
   if (route == RelayRoute::direct) {
-    const auto target = relay_assignment_.choose_redirect(heartbeat.machine, heartbeat.zone, via, now);
+    const auto target =
+        relay_assignment_.choose_redirect(heartbeat.machine, heartbeat.zone, via, now);
     if (target) return {kStatusMisdirected, protocol::encode_redirect(*target), 0, true};
   }
   relay_assignment_.record_heartbeat(heartbeat.machine, via, now);
@@ -62,7 +63,7 @@
   }
   machine.lease_renewed_at =
       std::max(machine.lease_renewed_at, stale ? machine.last_heartbeat_at : now);
-  if (!election_.leads()) {
+  if (!election_.is_leader()) {
     // Past its lease the leader keeps what runs alive and stops what must end, but starts nothing.
     std::erase_if(commands, [](const Command& c) { return c.type != CommandType::kill; });
   }
@@ -98,8 +99,8 @@
     heartbeat = *base;
     heartbeat.sequence = item.sequence;
   }
-  election_.superseded(heartbeat.fencing_token);
-  if (!election_.may_answer_reports()) return {kStatusUnavailable, ""};
+  election_.observe_fencing_token(heartbeat.fencing_token);
+  if (!election_.may_answer_heartbeats()) return {kStatusUnavailable, ""};
   auto response = handle(heartbeat, via, route, records);
   if (whole && response.status == kStatusOk) keep_as_base(std::move(heartbeat));
   return {response.status, std::move(response.body)};
--- a/src/coordination/workers/heartbeat_processor.cpp
+++ b/src/coordination/workers/heartbeat_processor.cpp
@@ -80,7 +80,7 @@
   // records name have this bound from the loading; a machine without tasks is met here first.
   if (heartbeat.fencing_token < first_fencing_token_) {
     machine.lease_renewed_at =
-        std::max(machine.lease_renewed_at, term_began_at_ + election_.retention());
+        std::max(machine.lease_renewed_at, term_began_at_ + election_.grace_period());
   }
   machine.has_reported = true;
   machine.known_to_exist_at = std::max(machine.known_to_exist_at, now);
--- a/src/coordination/workers/heartbeat_processor.hpp
+++ b/src/coordination/workers/heartbeat_processor.hpp
@@ -4,12 +4,12 @@
 #include <cstddef>
 #include <cstdint>
 #include <functional>
-#include <map>
 #include <string>
 #include <utility>
 
 #include "coordination/cluster_state/cluster_state.hpp"
 #include "coordination/election/election.hpp"
+#include "coordination/scaling/removed_machines.hpp"
 #include "coordination/workers/machine_health.hpp"
 #include "coordination/workers/task_evictor.hpp"
 #include "coordination/workers/task_reconciler.hpp"
@@ -28,8 +28,6 @@
 /// Called with every heartbeat that reaches the leader, whichever way it came.
 class HeartbeatProcessor {
  public:
-  /// Machines that are known to be gone, and since when.
-  using RemovedMachines = std::map<std::string, Seconds>;
   /// Called with a machine's first heartbeat in this term.
   using OnFirstHeartbeat = std::function<void(Machine& machine)>;
 
--- a/src/protocol/cloud_messages.cpp
+++ b/src/protocol/cloud_messages.cpp
@@ -102,8 +102,10 @@
 }
 
 std::string list_target(const std::string& after) {
-  const std::string first_page = std::string(kRentPath) + "?limit=" + std::to_string(kListPageSize);
-  return after.empty() ? first_page : first_page + "&since=" + after;
+  std::string target = kRentPath;
+  target += "?limit=" + std::to_string(kListPageSize);
+  if (!after.empty()) target += "&since=" + after;
+  return target;
 }
 
 }  // namespace larkroad::protocol
--- a/src/storage/store_messages.hpp
+++ b/src/storage/store_messages.hpp
@@ -78,8 +78,6 @@
   bool failed_on(const std::string& key) const {
     return std::find(failed.begin(), failed.end(), key) != failed.end();
   }
-  /// Earlier name of `failed_on`.
-  bool failed_machines(const std::string& key) const { return failed_on(key); }
 };
 
 struct ListReply {
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -96,7 +96,8 @@
   for (const auto& request : plan_cycle().scale_out) by_zone[request.market.zone] += request.count;
   EXPECT_EQ(by_zone["east"], by_zone["west"]);
   // What is refused in the one is looked for in the other.
-  for (const auto& type : testing::types()) backoff.record_failure({type.name, "east", false}, 100, 5, 9);
+  for (const auto& type : testing::types())
+    backoff.record_failure({type.name, "east", false}, 100, 5, 9);
   for (const auto& request : plan_cycle().scale_out) EXPECT_EQ(request.market.zone, "west");
 }
 
--- a/tests/command_dispatcher_test.cpp
+++ b/tests/command_dispatcher_test.cpp
@@ -41,9 +41,9 @@
   CommandDispatcherTest() {
     cluster.set_types(testing::types());
     for (const std::string name : {"m-1", "m-2"}) {
-      testing::up(cluster, name, "small").address = name + ":1";
+      testing::add_machine(cluster, name, "small").address = name + ":1";
     }
-    job = &testing::add(cluster, testing::spec("job", 2));
+    job = &testing::add_job(cluster, testing::spec("job", 2));
     cluster.place(*job, 0, cluster.machine("m-1"), 1, clock.now());
     cluster.place(*job, 1, cluster.machine("m-2"), 1, clock.now());
     dispatcher.restart();
@@ -51,10 +51,10 @@
 
   CommandDispatcher::Callbacks callbacks() {
     return {
-        .leads = [this] { return leads; },
+        .is_leader = [this] { return leads; },
         .fencing_token = [this] { return fencing_token; },
         .raise_fencing_token = [this] { ++fencing_token; },
-        .superseded = [this](std::uint64_t token) { superseded_by.push_back(token); },
+        .observe_fencing_token = [this](std::uint64_t token) { superseded_by.push_back(token); },
         .process_heartbeat =
             [this](const protocol::Heartbeat& heartbeat) {
               processed.push_back(heartbeat.sequence);
@@ -186,7 +186,7 @@
     EXPECT_TRUE(machine("m-1").direct_launches.empty());
     leads = true;
     cluster.remove_job("job");
-    job = &testing::add(cluster, testing::spec("job", 2));
+    job = &testing::add_job(cluster, testing::spec("job", 2));
     cluster.place(*job, 0, machine("m-1"), 1, clock.now());
   }
 }
--- a/tests/failure_tracker_test.cpp
+++ b/tests/failure_tracker_test.cpp
@@ -14,7 +14,9 @@
  protected:
   FailureTrackerTest() { cluster.set_types(testing::types()); }
 
-  Machine& add_machine(const std::string& name) { return testing::up(cluster, name, "small"); }
+  Machine& add_machine(const std::string& name) {
+    return testing::add_machine(cluster, name, "small");
+  }
 
   Placement& place(Job& job, std::uint32_t task, Machine& machine, TaskState state) {
     Placement& placement = cluster.place(job, task, machine, 1, clock.now());
@@ -31,7 +33,7 @@
 };
 
 TEST_F(FailureTrackerTest, JobBacksOffTwiceAsLongWithEachFailure) {
-  Job& job = testing::add(cluster, testing::spec("job"));
+  Job& job = testing::add_job(cluster, testing::spec("job"));
   for (const double expected : {1, 2, 4, 8, 16, 16, 16}) {
     failures.back_off(job);
     EXPECT_DOUBLE_EQ(job.retry_at, clock.now() + intervals(expected));
@@ -40,7 +42,7 @@
 }
 
 TEST_F(FailureTrackerTest, ReplicaRestartsAtOnceTheFirstTime) {
-  Job& job = testing::add(cluster, testing::service("service"));
+  Job& job = testing::add_job(cluster, testing::service("service"));
   const Placement& replica = place(job, 1, add_machine("m-0"), TaskState::running);
   failures.record_replica_exit(job, replica);
   EXPECT_EQ(job.restarts.at(1).retry_at, 0);
@@ -61,7 +63,7 @@
   Machine& machine = add_machine("m-0");
   for (const std::string id : {"a", "b", "c"}) {
     EXPECT_FALSE(machine.quarantined);
-    Job& job = testing::add(cluster, testing::spec(id));
+    Job& job = testing::add_job(cluster, testing::spec(id));
     failures.record_failure(machine, job, place(job, 0, machine, TaskState::running));
   }
   EXPECT_TRUE(machine.quarantined);
@@ -70,7 +72,7 @@
 TEST_F(FailureTrackerTest, SuccessClearsTheEvidence) {
   Machine& machine = add_machine("m-0");
   for (const std::string id : {"a", "b", "c", "d"}) {
-    Job& job = testing::add(cluster, testing::spec(id));
+    Job& job = testing::add_job(cluster, testing::spec(id));
     failures.record_failure(machine, job, place(job, 0, machine, TaskState::running));
     if (id == "b") FailureTracker::record_success(machine);
   }
@@ -79,7 +81,7 @@
 }
 
 TEST_F(FailureTrackerTest, JobThatFailsEverywhereIsLittleEvidence) {
-  Job& job = testing::add(cluster, testing::spec("job", 12));
+  Job& job = testing::add_job(cluster, testing::spec("job", 12));
   std::uint32_t task = 0;
   for (const std::string name : {"m-0", "m-1", "m-2"}) {
     Machine& machine = add_machine(name);
@@ -93,7 +95,7 @@
 
 TEST_F(FailureTrackerTest, TasksOfAJobThatSucceedsElsewhereQuarantineAMachine) {
   Machine& machine = add_machine("m-0");
-  Job& job = testing::add(cluster, testing::spec("job", 4));
+  Job& job = testing::add_job(cluster, testing::spec("job", 4));
   job.done_count = 1;
   for (std::uint32_t task = 1; task < 4; ++task) {
     EXPECT_FALSE(machine.quarantined);
@@ -105,7 +107,7 @@
 TEST_F(FailureTrackerTest, FailedStartsOfAJobThatStartsElsewhereDoNotHoldItUp) {
   Machine& faulty = add_machine("m-0");
   Machine& sound = add_machine("m-1");
-  Job& job = testing::add(cluster, testing::spec("job", 3));
+  Job& job = testing::add_job(cluster, testing::spec("job", 3));
   FailureTracker::record_start(sound, job);
   failures.record_failure(faulty, job, place(job, 0, faulty, TaskState::fetching));
   EXPECT_FALSE(faulty.quarantined);
@@ -117,7 +119,7 @@
 
 TEST_F(FailureTrackerTest, StartBetweenFailedStartsKeepsTheMachine) {
   Machine& machine = add_machine("m-0");
-  Job& job = testing::add(cluster, testing::spec("job", 3));
+  Job& job = testing::add_job(cluster, testing::spec("job", 3));
   FailureTracker::record_start(add_machine("m-1"), job);
   failures.record_failure(machine, job, place(job, 0, machine, TaskState::fetching));
   FailureTracker::record_start(machine, job);
@@ -127,7 +129,7 @@
 
 TEST_F(FailureTrackerTest, ReplicaThatRunsForFourIntervalsIsProven) {
   Machine& machine = add_machine("m-0");
-  Job& job = testing::add(cluster, testing::service("service"));
+  Job& job = testing::add_job(cluster, testing::service("service"));
   Placement& replica = place(job, 0, machine, TaskState::running);
   replica.running_since = clock.now();
   failures.record_failure(machine, job, replica);
@@ -144,7 +146,7 @@
 
 TEST_F(FailureTrackerTest, ReplicaThatFailsAgainAndAgainIsNoEvidence) {
   Machine& machine = add_machine("m-0");
-  Job& job = testing::add(cluster, testing::service("service"));
+  Job& job = testing::add_job(cluster, testing::service("service"));
   const Placement& replica = place(job, 0, machine, TaskState::running);
   for (int i = 0; i < 5; ++i) failures.record_failure(machine, job, replica);
   EXPECT_EQ(machine.failures, 2);
--- a/tests/machine_health_test.cpp
+++ b/tests/machine_health_test.cpp
@@ -30,7 +30,7 @@
   }
 
   Machine& add_machine(const std::string& name) {
-    Machine& machine = testing::up(cluster, name, "small");
+    Machine& machine = testing::add_machine(cluster, name, "small");
     machine.lease_renewed_at = clock.now();
     machine.last_heartbeat_at = clock.now();
     return machine;
--- a/tests/relay_scenarios_test.cpp
+++ b/tests/relay_scenarios_test.cpp
@@ -198,7 +198,7 @@
     world.users.submit_random_jobs(60, 30);
     world.run(40);
     ASSERT_LT(world.leader(), kControllers);
-    EXPECT_EQ(world.controller(world.leader()).spreads_workers(), sockets == kFewSockets)
+    EXPECT_EQ(world.controller(world.leader()).workers_distributed(), sockets == kFewSockets)
         << sockets;
     EXPECT_EQ(world.network.relay_batches > 0, sockets == kFewSockets) << sockets;
   }
--- a/tests/sim/simulated_controller.cpp
+++ b/tests/sim/simulated_controller.cpp
@@ -129,7 +129,7 @@
 }
 
 bool SimulatedController::is_leader() const {
-  return controller_ != nullptr && controller_->election().leads();
+  return controller_ != nullptr && controller_->election().is_leader();
 }
 
 }  // namespace larkroad::sim
--- a/tests/single_fault_scenarios_test.cpp
+++ b/tests/single_fault_scenarios_test.cpp
@@ -115,8 +115,8 @@
          });
        }
      }},
-    // Machines out of reach of every controller, for less and for more than their lease; what was sent
-    // to them arrives afterwards.
+    // Machines out of reach of every controller, for less and for more than their lease; what was
+    // sent to them arrives afterwards.
     {"machines_cut_off",
      {.lost_responses = 0.01,
       .delayed_requests = 0.02,
--- a/tests/task_reconciler_test.cpp
+++ b/tests/task_reconciler_test.cpp
@@ -28,9 +28,9 @@
  protected:
   TaskReconcilerTest() {
     cluster.set_types(testing::types());
-    machine = &testing::up(cluster, "m-0", "small");
+    machine = &testing::add_machine(cluster, "m-0", "small");
     machine->sequence = 3;
-    job = &testing::add(cluster, testing::spec("job", 2));
+    job = &testing::add_job(cluster, testing::spec("job", 2));
     placement = &cluster.place(*job, 0, *machine, 1, clock.now());
     placement->stage = Placement::Stage::acknowledged;
     dispatcher.restart();
@@ -38,10 +38,10 @@
 
   CommandDispatcher::Callbacks dispatcher_callbacks() {
     return {
-        .leads = [] { return true; },
+        .is_leader = [] { return true; },
         .fencing_token = [] { return kToken; },
         .raise_fencing_token = [this] { ++raised_tokens; },
-        .superseded = [](std::uint64_t) {},
+        .observe_fencing_token = [](std::uint64_t) {},
         .process_heartbeat = [](const protocol::Heartbeat&) { return Commands{}; },
         .machine_answered = [](Machine&) {},
         .machine_unanswered = [](Machine&) {},
