--- a/src/coordination/controller/controller.cpp
+++ b/src/coordination/controller/controller.cpp
@@ -122,7 +122,7 @@
 }
 
 void Controller::step_down_if_unreachable() {
-  if (!election_.leads()) return;
+  if (!election_.is_leader()) return;
   const Seconds now = clock_.now();
   const Seconds since = leader_.unreachable_by_workers_since();
   const auto unreachable_since = since < 0 ? std::nullopt : std::optional(since);
--- a/src/coordination/controller/controller.hpp
+++ b/src/coordination/controller/controller.hpp
@@ -43,7 +43,7 @@
   const Election& election() const { return election_; }
   const MemberVersions& versions() const { return versions_; }
   /// Whether workers are distributed over all controllers, as far as this one knows.
-  bool spreads_workers() const { return announcements_.workers_distributed(); }
+  bool workers_distributed() const { return announcements_.workers_distributed(); }
 
  private:
   enum class Role { leader, follower };
--- a/src/coordination/controller/heartbeat_router.cpp
+++ b/src/coordination/controller/heartbeat_router.cpp
@@ -38,10 +38,10 @@
 }
 
 void HeartbeatRouter::route(PendingHeartbeat pending) {
-  components_.election.superseded(pending.heartbeat.fencing_token);
+  components_.election.observe_fencing_token(pending.heartbeat.fencing_token);
   if (must_wait_for_loading(pending.loading_deadline)) {
     retry_after_loading_pause([this, pending = std::move(pending)] { route(pending); });
-  } else if (components_.election.may_answer_reports()) {
+  } else if (components_.election.may_answer_heartbeats()) {
     process_as_leader(pending);
   } else {
     relay_or_redirect(std::move(pending));
@@ -52,7 +52,7 @@
   pending.respond(components_.leader.handle_heartbeat(pending.heartbeat));
   // Past its lease the leader announces nothing, so it would find the change again with each
   // heartbeat.
-  if (components_.election.leads() &&
+  if (components_.election.is_leader() &&
       components_.leader.relay_assignment().spread() != components_.announcements.last_sent()) {
     on_distribution_changed();
   }
@@ -94,7 +94,7 @@
   Leader& leader = components_.leader;
   if (must_wait_for_loading(pending.loading_deadline)) {
     retry_after_loading_pause([this, pending = std::move(pending)] { process_batch(pending); });
-  } else if (!election.may_answer_reports()) {
+  } else if (!election.may_answer_heartbeats()) {
     pending.respond({421, protocol::encode_redirect(election.leader()), 0});
   } else if (!leader.is_own_fencing_token(pending.batch.fencing_token)) {
     pending.respond({409, protocol::encode_fencing_token(election.fencing_token()), 0});
--- a/src/coordination/controller/peer_gossip.cpp
+++ b/src/coordination/controller/peer_gossip.cpp
@@ -60,7 +60,7 @@
   status.version = kOwnVersion;
   status.receives_heartbeats = components_.heartbeat_router.receives_heartbeats();
   if (components_.relay.works()) status.relays_to = components_.relay.aimed_at();
-  if (components_.election.leads()) add_leader_status(status);
+  if (components_.election.is_leader()) add_leader_status(status);
   return status;
 }
 
@@ -79,7 +79,7 @@
   // The first version does not say which one it is.
   components_.versions.peer_reported(status.member, status.version.value_or(kFirstVersion));
   components_.peers.observe(status, now);
-  components_.election.superseded(status.fencing_token);
+  components_.election.observe_fencing_token(status.fencing_token);
   if (components_.election.holds() && status.relays_to == settings_.member) {
     components_.leader.relay_assignment().relays(status.member, now);
   }
@@ -88,13 +88,13 @@
 }
 
 void PeerGossip::observe_leader_announcement(const protocol::PeerStatus& status) {
-  if (!status.distributes_workers || components_.election.leads()) return;
+  if (!status.distributes_workers || components_.election.is_leader()) return;
   components_.announcements.received(status.member, status.fencing_token,
                                      *status.distributes_workers, clock_.now());
 }
 
 void PeerGossip::observe_job_progress(const protocol::PeerStatus& status) {
-  if (!status.jobs || components_.election.leads()) return;
+  if (!status.jobs || components_.election.is_leader()) return;
   components_.user_api.set_progress(from_message(*status.jobs));
 }
 
--- a/src/coordination/election/election.cpp
+++ b/src/coordination/election/election.cpp
@@ -36,13 +36,13 @@
 
 bool Election::holds_lease() const { return term_ && term_->lease.is_held(clock_.now()); }
 
-bool Election::leads() const { return term_ && term_->lease.allows_acting(clock_.now()); }
+bool Election::is_leader() const { return term_ && term_->lease.allows_acting(clock_.now()); }
 
-bool Election::may_answer_reports() const {
+bool Election::may_answer_heartbeats() const {
   return term_ && term_->lease.allows_answering_heartbeats(clock_.now());
 }
 
-void Election::view_proved(Seconds sent) {
+void Election::confirm_view(Seconds sent) {
   if (term_) term_->lease.confirm_view(sent);
 }
 
@@ -277,7 +277,7 @@
 
 // ------------------------------------------------------------ ending a term
 
-void Election::superseded(std::uint64_t fencing_token) {
+void Election::observe_fencing_token(std::uint64_t fencing_token) {
   if (!term_ || fencing_token <= term_->fencing_token) return;
   end_term("a higher fencing token has been observed: " + std::to_string(fencing_token));
 }
--- a/src/coordination/election/election.hpp
+++ b/src/coordination/election/election.hpp
@@ -40,19 +40,19 @@
   void start();
 
   /// Whether this controller may act as the leader now.
-  bool leads() const;
+  bool is_leader() const;
   /// Whether this controller holds the leader key as far as it knows, though perhaps past its
   /// lease.
   bool holds() const { return term_.has_value(); }
   /// Whether heartbeats may be answered: longer than the leader may act, see `LeaderLease`.
-  bool may_answer_reports() const;
+  bool may_answer_heartbeats() const;
   /// The leader has read, in answer to a call sent at that time, all changes of the jobs that were
   /// recorded by then. A renewal alone proves nothing of the kind, as the watch may be late.
-  void view_proved(Seconds sent);
+  void confirm_view(Seconds sent);
   /// How long a watch may block before it confirms the view anew, to keep it fresh enough to act.
   Seconds view_interval() const;
   /// How long after its last renewal a deposed leader may still have answered a heartbeat.
-  Seconds retention() const { return LeaderLease::grace_period(settings_); }
+  Seconds grace_period() const { return LeaderLease::grace_period(settings_); }
 
   /// The fencing token of this controller's term; 0 when it has none.
   std::uint64_t fencing_token() const { return term_ ? term_->fencing_token : 0; }
@@ -65,7 +65,7 @@
   /// present one. Does nothing past the lease or while another such write is in flight.
   void raise_fencing_token();
   /// Ends the term if the token, seen by a worker or reported by a peer, is a newer leader's.
-  void superseded(std::uint64_t fencing_token);
+  void observe_fencing_token(std::uint64_t fencing_token);
   /// Ends the term, to start anew from what is recorded.
   void resign(const std::string& reason);
   /// Ends the term and leaves the election to the peers for this long.
--- a/src/coordination/leader/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -88,7 +88,7 @@
   lag_.fired(next_periodic_run_, now);
   next_periodic_run_ = now + settings_.heartbeat_interval_s * kRetryRatio;
   scope_.after(settings_.heartbeat_interval_s * kRetryRatio, [this] { run_periodic_tasks(); });
-  if (!election_.leads()) return;
+  if (!election_.is_leader()) return;
   std::vector<std::string> silent;
   for (auto& [name, machine] : cluster_.machines()) {
     if (machine.lease_expired || machine.lease_renewed_at < 0) continue;
@@ -139,7 +139,7 @@
 }
 
 void Leader::make_plan() {
-  if (!ready_ || !election_.leads()) return;
+  if (!ready_ || !election_.is_leader()) return;
   const Seconds begun = clock_.now();
   CycleLimits limits;
   limits.reservation_limit_s = settings_.operators.reservation_limit_s;
--- a/src/coordination/leader/leader_cloud.cpp
+++ b/src/coordination/leader/leader_cloud.cpp
@@ -21,7 +21,7 @@
   scope_.after(settings_.heartbeat_interval_s * kFleetRatio, [this] { scale(); });
   record_images();
   if (spdlog::should_log(spdlog::level::debug)) log_use();
-  if (!election_.leads() || !catalog_.known()) return;
+  if (!election_.is_leader() || !catalog_.known()) return;
   // Until the machines of an earlier leader have had time to report, what is there is not known.
   if (!listed_once_ || clock_.now() - ready_at_ < settings_.heartbeat_interval_s * 1.5) return;
   const Seconds begun = clock_.now();
@@ -199,7 +199,7 @@
 void Leader::list_machines() {
   scope_.after(settings_.list_lag_s > 0 ? settings_.list_lag_s / 2 : settings_.heartbeat_interval_s,
                [this] { list_machines(); });
-  if (listing_ || !election_.leads()) return;
+  if (listing_ || !election_.is_leader()) return;
   listing_ = true;
   list_page("", clock_.now());
 }
--- a/src/coordination/leader/leader_loading.cpp
+++ b/src/coordination/leader/leader_loading.cpp
@@ -110,7 +110,7 @@
   for (auto& [name, machine] : cluster_.machines()) {
     // The leader before this one may have answered its reports until its own bound.
     machine.lease_renewed_at =
-        std::max(machine.lease_renewed_at, begun_at_ + election_.retention());
+        std::max(machine.lease_renewed_at, begun_at_ + election_.grace_period());
     machine.known_to_exist_at = begun_at_;
   }
   for (const auto& [id, job] : cluster_.jobs()) {
@@ -119,7 +119,7 @@
   }
   ready_ = true;
   loading_ = false;
-  election_.view_proved(loading_since_);
+  election_.confirm_view(loading_since_);
   cluster_.set_types(catalog_.types());
   ready_at_ = now;
   spdlog::info("ready: {} jobs, {} tasks placed, after {:.0f} ms", cluster_.jobs().size(), placed,
@@ -155,7 +155,7 @@
           }
           watched_to_ = std::max(watched_to_, reply.revision);
           std::erase_if(finished_, [this](const auto& over) { return over.second <= watched_to_; });
-          election_.view_proved(sent);
+          election_.confirm_view(sent);
           watch_jobs();
         } else if (reply.status == Status::too_old) {
           election_.resign("missed changes of the jobs");
--- a/src/coordination/leader/leader_records.cpp
+++ b/src/coordination/leader/leader_records.cpp
@@ -41,7 +41,7 @@
 }
 
 void Leader::persist(Job& job) {
-  if (job.write_in_flight || !ready_ || !election_.leads()) return;
+  if (job.write_in_flight || !ready_ || !election_.is_leader()) return;
   if (job.is_finished() && job.cancelled_by_peer) {
     job.write_in_flight = true;  // until its record has been read: nothing is written by hearsay
     refresh_job(job.id());
@@ -166,7 +166,7 @@
       }
     }
   }
-  if (!launches.empty() && election_.leads()) launch(*job, launches);
+  if (!launches.empty() && election_.is_leader()) launch(*job, launches);
   persist(*job);
   request_plan();
 }
@@ -243,7 +243,7 @@
 // A controller of the first version reads it like any other.
 void Leader::shrink_shards(Job& job) {
   if (!cluster_.has_oversized_shards(job) || !job.placements.empty() || job.done_count > 0 ||
-      job.cancelled || !ready_ || !election_.leads()) {
+      job.cancelled || !ready_ || !election_.is_leader()) {
     return;
   }
   const StoreLimits limits = settings_.lasting_store_limits();
@@ -278,7 +278,7 @@
 }
 
 void Leader::drop_garbage() {
-  if (dropping_ || garbage_.empty() || !election_.leads()) return;
+  if (dropping_ || garbage_.empty() || !election_.is_leader()) return;
   dropping_ = true;
   storage::Transaction txn;
   txn.preconditions.push_back({storage::kLeaderKey, election_.fencing_token()});
@@ -298,7 +298,7 @@
 // What machines hold outlives a leader only for the sake of speed: it is written when nothing
 // else waits for the state service, some machines at a time.
 void Leader::record_images() {
-  if (recording_images_ || !election_.leads()) return;
+  if (recording_images_ || !election_.is_leader()) return;
   storage::Transaction txn;
   std::vector<std::string> names;
   txn.preconditions.push_back({storage::kLeaderKey, election_.fencing_token()});
--- a/src/coordination/leader/leader_workers.cpp
+++ b/src/coordination/leader/leader_workers.cpp
@@ -70,7 +70,7 @@
     if (ready_) commands = process(heartbeat, From::worker);
     machine.lease_renewed_at =
         std::max(machine.lease_renewed_at, stale ? machine.last_heartbeat_at : now);
-    if (!election_.leads()) {
+    if (!election_.is_leader()) {
       // Past its lease it keeps what runs alive and stops what must end, but starts nothing.
       std::erase_if(commands, [](const Command& c) { return c.type != CommandType::kill; });
     }
@@ -120,8 +120,8 @@
       heartbeat = machine->last_relayed_heartbeat;
       heartbeat.sequence = item.sequence;
     }
-    election_.superseded(heartbeat.fencing_token);
-    if (!election_.may_answer_reports()) {
+    election_.observe_fencing_token(heartbeat.fencing_token);
+    if (!election_.may_answer_heartbeats()) {
       out.push_back({503, ""});
       continue;
     }
@@ -187,7 +187,7 @@
   // records name have this bound from the loading; a machine without tasks is met here first.
   if (heartbeat.fencing_token < first_fencing_token_) {
     machine.lease_renewed_at =
-        std::max(machine.lease_renewed_at, begun_at_ + election_.retention());
+        std::max(machine.lease_renewed_at, begun_at_ + election_.grace_period());
   }
   machine.has_reported = true;
   machine.known_to_exist_at = std::max(machine.known_to_exist_at, now);
@@ -600,7 +600,7 @@
 void Leader::drop_stale_launches(Machine& machine, Commands& commands) {
   const auto stale = [&](const Command& command) {
     if (command.type != CommandType::launch) return false;
-    if (!election_.leads()) return true;
+    if (!election_.is_leader()) return true;
     const Job* job = cluster_.job(command.id.job);
     if (job == nullptr) return true;
     const auto it = job->placements.find(command.id.task);
@@ -662,7 +662,7 @@
   try {
     const auto heartbeat = protocol::parse_heartbeat(response.body);
     if (heartbeat.fencing_token > election_.fencing_token()) {
-      election_.superseded(heartbeat.fencing_token);
+      election_.observe_fencing_token(heartbeat.fencing_token);
       return;
     }
     // Commands that follow from this wait for the worker's own report.
@@ -684,7 +684,7 @@
                  try {
                    const auto heartbeat = protocol::parse_heartbeat(response.body);
                    if (heartbeat.fencing_token > election_.fencing_token()) {
-                     election_.superseded(heartbeat.fencing_token);
+                     election_.observe_fencing_token(heartbeat.fencing_token);
                      return;
                    }
                    process(heartbeat, From::call);
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -221,7 +221,7 @@
 
 size_t World::leader() const {
   for (size_t i = 0; i < hosts_.size(); ++i) {
-    if (hosts_[i]->node && hosts_[i]->node->election().leads()) return i;
+    if (hosts_[i]->node && hosts_[i]->node->election().is_leader()) return i;
   }
   return hosts_.size();
 }
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -606,7 +606,7 @@
     world.submit_some(60, 30);
     world.run(40);
     ASSERT_LT(world.leader(), 3u);
-    EXPECT_EQ(world.node(world.leader()).spreads_workers(), sockets == kFewSockets) << sockets;
+    EXPECT_EQ(world.node(world.leader()).workers_distributed(), sockets == kFewSockets) << sockets;
     EXPECT_EQ(world.relayed > 0, sockets == kFewSockets) << sockets;
   }
 }
