--- a/tests/callback_scope_test.cpp
+++ b/tests/callback_scope_test.cpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <vector>
 
-#include "manual_clock.hpp"
+#include "fakes/manual_clock.hpp"
 
 namespace larkroad::transport {
 namespace {
@@ -65,9 +65,9 @@
 TEST_F(CallbackScopeTest, TimersRunInTheirOrder) {
   scope->after(2, [this] { calls.push_back(2); });
   scope->after(1, [this] { calls.push_back(1); });
-  clock.run(clock.now() + 1.5);
+  clock.run_until(clock.now() + 1.5);
   EXPECT_EQ(calls, (std::vector<int>{1}));
-  clock.run(clock.now() + 1.5);
+  clock.run_until(clock.now() + 1.5);
   EXPECT_EQ(calls, (std::vector<int>{1, 2}));
 }
 
@@ -75,14 +75,14 @@
   scope->after(1, [this] { calls.push_back(1); });
   scope->restart();
   scope->after(1, [this] { calls.push_back(2); });
-  clock.run(clock.now() + 2);
+  clock.run_until(clock.now() + 2);
   EXPECT_EQ(calls, (std::vector<int>{2}));
 }
 
 TEST_F(CallbackScopeTest, TimersMayOutliveTheScope) {
   scope->after(1, [this] { calls.push_back(1); });
   scope.reset();
-  clock.run(clock.now() + 2);
+  clock.run_until(clock.now() + 2);
   EXPECT_TRUE(calls.empty());
 }
 
--- a/tests/cloud_reconciler_test.cpp
+++ b/tests/cloud_reconciler_test.cpp
@@ -5,6 +5,7 @@
 
 #include <deque>
 
+#include "fakes/manual_clock.hpp"
 #include "support.hpp"
 
 namespace larkroad::coordination {
@@ -14,33 +15,6 @@
 using transport::Request;
 using transport::Response;
 
-class ManualClock : public transport::Clock {
- public:
-  Seconds now() const override { return now_; }
-  Seconds unix_time() const override { return now_; }
-  transport::TimerId after(Seconds delay, std::function<void()> callback) override {
-    timers_.emplace(now_ + delay, std::move(callback));
-    return ++last_timer_;
-  }
-  void cancel(transport::TimerId) override {}
-
-  void advance(Seconds length) {
-    const Seconds until = now_ + length;
-    while (!timers_.empty() && timers_.begin()->first <= until) {
-      now_ = std::max(now_, timers_.begin()->first);
-      auto callback = std::move(timers_.begin()->second);
-      timers_.erase(timers_.begin());
-      callback();
-    }
-    now_ = until;
-  }
-
- private:
-  std::multimap<Seconds, std::function<void()>> timers_;
-  Seconds now_ = 1000;
-  transport::TimerId last_timer_ = 0;
-};
-
 // Keeps each call until the test answers it; calls for the catalog are answered at once.
 class RecordingClient : public transport::Client {
  public:
@@ -122,7 +96,7 @@
   // Answers the first list and waits for the earlier leader's machines, as a round requires.
   void become_ready_to_scale() {
     answer_list({});
-    clock_.advance(settings_.heartbeat_interval_s * 1.5);
+    clock_.run_for(settings_.heartbeat_interval_s * 1.5);
   }
 
   std::vector<RecordingClient::Call> rentals() const {
@@ -132,7 +106,7 @@
     return client_.sent_to(protocol::kReturnPath);
   }
 
-  ManualClock clock_;
+  testing::ManualClock clock_{1000, 0};
   RecordingClient client_;
   Settings settings_;
   storage::KeyValueClient store_;
@@ -155,7 +129,7 @@
   EXPECT_TRUE(reconciler_.has_listed());
   reconciler_.run_scaling_round();
   EXPECT_TRUE(rentals().empty());
-  clock_.advance(settings_.heartbeat_interval_s * 1.5);
+  clock_.run_for(settings_.heartbeat_interval_s * 1.5);
   leadership_.leading = false;
   reconciler_.run_scaling_round();
   EXPECT_TRUE(rentals().empty());
@@ -186,7 +160,7 @@
   reconciler_.run_scaling_round();
   ASSERT_EQ(rentals().size(), 1u);
   rentals()[0].reply(Outcome::unknown, {});
-  clock_.advance(settings_.heartbeat_interval_s);
+  clock_.run_for(settings_.heartbeat_interval_s);
   ASSERT_EQ(rentals().size(), 2u);
   EXPECT_EQ(rentals()[0].request.body, rentals()[1].request.body);
   EXPECT_NE(rentals()[0].request.body.find("\"r-7-1\""), std::string::npos);
@@ -214,7 +188,7 @@
   ASSERT_EQ(releases().size(), 1u);
   EXPECT_NE(cluster_.find_machine("i-1"), nullptr);
   releases()[0].reply(Outcome::unknown, {});
-  clock_.advance(settings_.heartbeat_interval_s);
+  clock_.run_for(settings_.heartbeat_interval_s);
   ASSERT_EQ(releases().size(), 2u) << "a release without an answer was not repeated";
   releases()[1].reply(Outcome::answered, {200, "{}"});
   EXPECT_EQ(cluster_.find_machine("i-1"), nullptr);
@@ -227,7 +201,7 @@
   answer_list({"i-1"}, "failed");
   ASSERT_EQ(releases().size(), 1u);
   releases()[0].reply(Outcome::answered, {200, "{}"});
-  clock_.advance(settings_.list_lag_s / 2);
+  clock_.run_for(settings_.list_lag_s / 2);
   answer_list({"i-1"}, "running");
   EXPECT_EQ(cluster_.find_machine("i-1"), nullptr);
 }
@@ -241,13 +215,13 @@
 // A list may be two lags old, so a machine that was seen later than that is not yet missing.
 TEST_F(CloudReconcilerTest, RemovesAMachineOnceAListMustShowIt) {
   answer_list({"i-1"});
-  clock_.advance(settings_.list_lag_s);
+  clock_.run_for(settings_.list_lag_s);
   answer_list({});
   EXPECT_NE(cluster_.find_machine("i-1"), nullptr);
-  clock_.advance(2 * settings_.list_lag_s + settings_.heartbeat_interval_s);
+  clock_.run_for(2 * settings_.list_lag_s + settings_.heartbeat_interval_s);
   answer_list({});  // it was asked for at the beginning of that time
   EXPECT_NE(cluster_.find_machine("i-1"), nullptr);
-  clock_.advance(settings_.list_lag_s);
+  clock_.run_for(settings_.list_lag_s);
   answer_list({});
   EXPECT_EQ(cluster_.find_machine("i-1"), nullptr);
   EXPECT_EQ(removed_names_, std::vector<std::string>{"i-1"});
--- a/tests/command_dispatcher_test.cpp
+++ b/tests/command_dispatcher_test.cpp
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-#include "fake_clock.hpp"
+#include "fakes/manual_clock.hpp"
 #include "support.hpp"
 
 namespace larkroad::coordination {
@@ -87,7 +87,7 @@
   }
 
   const Settings settings = testing::settings();
-  testing::FakeClock clock;
+  testing::ManualClock clock{100};
   PendingClient client;
   ClusterState cluster{settings};
   Job* job = nullptr;
@@ -107,7 +107,7 @@
   dispatcher.queue("m-1", {kill_command(0)});
   dispatcher.queue("m-1", {kill_command(1)});
   EXPECT_TRUE(client.calls.empty());
-  clock.advance(kGathering);
+  clock.run_for(kGathering);
   ASSERT_EQ(client.calls.size(), 2u);
   EXPECT_EQ(client.calls[0].endpoint, "m-1:1");
   EXPECT_EQ(client.calls[0].request.target, protocol::kCommandsPath);
@@ -121,17 +121,17 @@
 TEST_F(CommandDispatcherTest, CommandsDoNotReachTheNextIncarnation) {
   dispatcher.queue("m-1", {kill_command(0)});
   machine("m-1").incarnation = 2;
-  clock.advance(kGathering);
+  clock.run_for(kGathering);
   EXPECT_TRUE(client.calls.empty());
 }
 
 TEST_F(CommandDispatcherTest, CommandsOfAnEarlierTermAreNotSent) {
   dispatcher.queue("m-1", {kill_command(0)});
   dispatcher.restart();
-  clock.advance(kGathering);
+  clock.run_for(kGathering);
   EXPECT_TRUE(client.calls.empty());
   dispatcher.queue("m-1", {kill_command(0)});
-  clock.advance(kGathering);
+  clock.run_for(kGathering);
   EXPECT_EQ(client.calls.size(), 1u);
 }
 
@@ -142,7 +142,7 @@
   EXPECT_TRUE(is_unresolved("m-2", 1));
   EXPECT_EQ(machine("m-1").direct_launches.size(), 1u);
   fencing_token = kToken + 1;  // raised while the launches wait
-  clock.advance(kGathering);
+  clock.run_for(kGathering);
   ASSERT_EQ(client.calls.size(), 2u);
   EXPECT_EQ(client.calls[0].request.body, commands({launch_command(0)}, kToken + 1));
   const auto& launch = machine("m-1").unresolved_launches.begin()->second;
@@ -156,7 +156,7 @@
   dispatcher.launch(*job, {0, 1});
   EXPECT_TRUE(job->placements.empty());
   EXPECT_EQ(requested_plans, 2);
-  clock.advance(kGathering);
+  clock.run_for(kGathering);
   EXPECT_TRUE(client.calls.empty());
 }
 
@@ -179,7 +179,7 @@
     dispatcher.launch(*job, {0});
     change();
     dispatcher.queue("m-1", {kill_command(1)});
-    clock.advance(kGathering);
+    clock.run_for(kGathering);
     ASSERT_EQ(client.calls.size(), 1u);
     EXPECT_EQ(client.calls[0].request.body, commands({kill_command(1)}));
     EXPECT_FALSE(is_unresolved("m-1", 0));
@@ -210,7 +210,7 @@
     answered.clear();
     unanswered.clear();
     dispatcher.launch(*job, {0});
-    clock.advance(kGathering);
+    clock.run_for(kGathering);
     ASSERT_EQ(client.calls.size(), 1u);
     client.calls[0].on_reply(outcome, {http_status, status(kToken), 0});
     EXPECT_EQ(is_unresolved("m-1", 0), !resolved);
@@ -226,22 +226,22 @@
 TEST_F(CommandDispatcherTest, OnlyStopsFollowFromTheAnswerToACommand) {
   follow_up = {kill_command(0), {CommandType::forget, {"job", 1}, 1, 0}, launch_command(1)};
   dispatcher.queue("m-1", {kill_command(1)});
-  clock.advance(kGathering);
+  clock.run_for(kGathering);
   client.calls.at(0).on_reply(Outcome::answered, {200, status(kToken), 0});
   EXPECT_EQ(processed, (std::vector<std::uint64_t>{5}));
-  clock.advance(kGathering);
+  clock.run_for(kGathering);
   ASSERT_EQ(client.calls.size(), 2u);
   EXPECT_EQ(client.calls[1].request.body, commands({kill_command(0)}));
   // A refusal carries the status too, but nothing follows from it at once.
   client.calls.at(1).on_reply(Outcome::answered, {409, status(kToken), 0});
   EXPECT_EQ(processed.size(), 2u);
-  clock.advance(kGathering);
+  clock.run_for(kGathering);
   EXPECT_EQ(client.calls.size(), 2u);
 }
 
 TEST_F(CommandDispatcherTest, AnswerWithAHigherTokenShowsANewerLeader) {
   dispatcher.queue("m-1", {kill_command(0)});
-  clock.advance(kGathering);
+  clock.run_for(kGathering);
   client.calls.at(0).on_reply(Outcome::answered, {409, status(kToken + 1), 0});
   EXPECT_EQ(superseded_by, (std::vector<std::uint64_t>{kToken + 1}));
   EXPECT_TRUE(processed.empty());
@@ -249,7 +249,7 @@
 
 TEST_F(CommandDispatcherTest, AnswersAfterTheTermAreIgnored) {
   dispatcher.launch(*job, {0});
-  clock.advance(kGathering);
+  clock.run_for(kGathering);
   dispatcher.restart();
   client.calls.at(0).on_reply(Outcome::answered, {200, status(kToken), 0});
   EXPECT_TRUE(is_unresolved("m-1", 0));
@@ -267,7 +267,7 @@
   EXPECT_EQ(answered, (std::vector<std::string>{"m-1"}));
   EXPECT_EQ(processed.size(), 1u);
   EXPECT_EQ(requested_plans, 1);
-  clock.advance(kGathering);
+  clock.run_for(kGathering);
   EXPECT_EQ(client.calls.size(), 1u);
 }
 
@@ -289,22 +289,22 @@
   dispatcher.require_fencing();
   dispatcher.raise_fencing_token_if_due();
   EXPECT_EQ(fencing_token, kToken) << "raised right after the term began";
-  clock.advance(settings.lease_s / 4 + 0.01);
+  clock.run_for(settings.lease_s / 4 + 0.01);
   dispatcher.raise_fencing_token_if_due();
   EXPECT_EQ(fencing_token, kToken + 1);
   dispatcher.require_fencing();
   dispatcher.raise_fencing_token_if_due();
   EXPECT_EQ(fencing_token, kToken + 1);
-  clock.advance(settings.lease_s / 4 + 0.01);
+  clock.run_for(settings.lease_s / 4 + 0.01);
   dispatcher.raise_fencing_token_if_due();
   EXPECT_EQ(fencing_token, kToken + 2);
-  clock.advance(settings.lease_s);
+  clock.run_for(settings.lease_s);
   dispatcher.raise_fencing_token_if_due();
   EXPECT_EQ(fencing_token, kToken + 2) << "raised although nothing asked for it";
 }
 
 TEST_F(CommandDispatcherTest, LaunchUnderAnEarlierTokenNeedsNoHigherOne) {
-  clock.advance(settings.lease_s);
+  clock.run_for(settings.lease_s);
   dispatcher.require_fencing_of({kToken - 1, false, 0});
   dispatcher.raise_fencing_token_if_due();
   EXPECT_EQ(fencing_token, kToken);
--- a/tests/failure_tracker_test.cpp
+++ b/tests/failure_tracker_test.cpp
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "fake_clock.hpp"
+#include "fakes/manual_clock.hpp"
 #include "support.hpp"
 
 namespace larkroad::coordination {
@@ -27,7 +27,7 @@
   Seconds intervals(double count) const { return settings.heartbeat_interval_s * count; }
 
   const Settings settings = testing::settings();
-  testing::FakeClock clock;
+  testing::ManualClock clock{100};
   ClusterState cluster{settings};
   FailureTracker failures{clock, cluster, settings};
 };
@@ -133,11 +133,11 @@
   Placement& replica = place(job, 0, machine, TaskState::running);
   replica.running_since = clock.now();
   failures.record_failure(machine, job, replica);
-  clock.advance(intervals(4) - 0.01);
+  clock.run_for(intervals(4) - 0.01);
   failures.record_running_replica(machine, job, replica);
   EXPECT_FALSE(replica.proven);
   EXPECT_EQ(machine.failures, 1);
-  clock.advance(0.02);
+  clock.run_for(0.02);
   failures.record_running_replica(machine, job, replica);
   EXPECT_TRUE(replica.proven);
   EXPECT_TRUE(job.restarts.empty());
--- a/tests/job_cache_test.cpp
+++ b/tests/job_cache_test.cpp
@@ -26,7 +26,7 @@
     for (int i = 0; i < count; ++i) {
       cache.refresh([&](Status status) { results.push_back(status); });
     }
-    clock.run(clock.now() + 5);
+    clock.run_until(clock.now() + 5);
     return results;
   }
   JobCache cache;
@@ -103,7 +103,7 @@
     order.push_back(1);
     cache.refresh([&](Status) { order.push_back(2); });
   });
-  clock.run(clock.now() + 5);
+  clock.run_until(clock.now() + 5);
   EXPECT_EQ(order, (std::vector<int>{1, 2}));
   EXPECT_EQ(net.sent.size(), 2u);
 }
--- a/tests/key_value_client_test.cpp
+++ b/tests/key_value_client_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 using testing::ScriptedAnswer;
-using testing::ScriptedClient;
+using testing::ScriptedStoreClient;
 using transport::Outcome;
 
 class KeyValueClientTest : public testing::ScriptedStoreTest {
@@ -25,7 +25,7 @@
     client.commit_until_certain(
         txn, [this, until = clock.now() + 20] { return clock.now() < until; },
         [&](CommitReply reply) { got = reply; });
-    clock.run(clock.now() + 30);
+    clock.run_until(clock.now() + 30);
     return got.value();
   }
 };
@@ -78,7 +78,7 @@
 // refusals too, the present limits are tried again, after longer each time.
 TEST_F(KeyValueClientTest, RefusalLowersTheLimitsForAWhile) {
   settings.next_store_limits.write_rps = settings.store_limits.write_rps / 5;
-  ScriptedClient own_net;
+  ScriptedStoreClient own_net;
   KeyValueClient own(clock, own_net, settings);
   own.set_share(1, 1);
   const auto writes_in = [&](Seconds length) {
@@ -89,7 +89,7 @@
       txn.writes.push_back({"a", {{"x", 1}}, std::nullopt});
       own.commit(
           txn, [](const CommitReply&) {}, RequestPriority::user);
-      clock.run(clock.now() + 0.01);
+      clock.run_until(clock.now() + 0.01);
     }
     return own_net.sent.size() - before;
   };
@@ -100,12 +100,12 @@
   own_net.script.push_back({Outcome::answered, {429, "{}", 0}});
   writes_in(0.1);
   EXPECT_LE(static_cast<double>(writes_in(5)), 5 * next * 1.1);
-  clock.run(clock.now() + settings.lease_s);
+  clock.run_until(clock.now() + settings.lease_s);
   writes_in(5);
   EXPECT_GT(static_cast<double>(writes_in(5)), 5 * present * 0.8) << "tried again";
   own_net.script.push_back({Outcome::answered, {429, "{}", 0}});
   writes_in(0.1);
-  clock.run(clock.now() + settings.lease_s);
+  clock.run_until(clock.now() + settings.lease_s);
   writes_in(2);
   EXPECT_LE(static_cast<double>(writes_in(5)), 5 * next * 1.1) << "for longer than before";
 }
@@ -119,9 +119,9 @@
       (status == Status::unavailable ? refused : answered) += 1;
     });
   }
-  clock.run(2);
+  clock.run_until(2);
   EXPECT_LE(net.sent.size(), 100u);  // half of 100 a second: a burst, and one second more
-  clock.run(20);
+  clock.run_until(20);
   EXPECT_GT(refused, 0);  // what would wait too long is refused rather than kept
   EXPECT_EQ(answered + refused, 500);
 }
@@ -137,7 +137,7 @@
     clock.after(0.1, small);
   };
   small();
-  clock.run(10);
+  clock.run_until(10);
   Transaction large;
   for (int i = 0; i < 4; ++i) large.writes.push_back({"large", {{"x", i}}, std::nullopt});
   std::optional<Seconds> done;
@@ -147,7 +147,7 @@
         EXPECT_EQ(reply.status, Status::ok);
         done = clock.now();
       });
-  clock.run(60);
+  clock.run_until(60);
   ASSERT_TRUE(done);
   EXPECT_LT(*done, 30);
 }
@@ -163,13 +163,13 @@
     client.commit(
         txn, [&order, what](const CommitReply&) { order.push_back(what); }, priority);
   };
-  clock.run(10);
+  clock.run_until(10);
   for (int i = 0; i < 20; ++i) commit("bulk", RequestPriority::bulk);
   const size_t before = order.size();
   ASSERT_LT(before, 20u);
   commit("scheduling", RequestPriority::scheduling);
   commit("user", RequestPriority::user);
-  clock.run(30);
+  clock.run_until(30);
   ASSERT_EQ(order.size(), 22u);
   EXPECT_EQ(order[before], "user");
   EXPECT_EQ(order[before + 1], "scheduling");
@@ -190,7 +190,7 @@
   EXPECT_EQ(client.failing_for(), 0);
   net.script = {kUnavailable, testing::kLostAnswer};
   client.get("a", [](Status, Entry) {});
-  clock.run(clock.now() + 3);
+  clock.run_until(clock.now() + 3);
   client.get("a", [](Status, Entry) {});
   EXPECT_NEAR(client.failing_for(), 3, 0.1);
   EXPECT_TRUE(client.worth_trying());   // one probe
--- a/tests/machine_health_test.cpp
+++ b/tests/machine_health_test.cpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "fake_clock.hpp"
+#include "fakes/manual_clock.hpp"
 #include "support.hpp"
 
 namespace larkroad::coordination {
@@ -41,7 +41,7 @@
   }
 
   const Settings settings = testing::settings();
-  testing::FakeClock clock;
+  testing::ManualClock clock{100};
   ClusterState cluster{settings};
   std::vector<std::string> ended;
   std::vector<std::string> queried;
@@ -52,10 +52,10 @@
 
 TEST_F(MachineHealthTest, LeaseExpiresOnceAndOnlyPastClockDrift) {
   Machine& machine = add_machine("m-0");
-  clock.advance(settings.lease_s);
+  clock.run_for(settings.lease_s);
   health.expire_leases();
   EXPECT_FALSE(machine.lease_expired) << "the worker's clock may be behind";
-  clock.advance(settings.lease_s * 0.001 + settings.heartbeat_interval_s / 10 + 0.001);
+  clock.run_for(settings.lease_s * 0.001 + settings.heartbeat_interval_s / 10 + 0.001);
   health.expire_leases();
   EXPECT_TRUE(machine.lease_expired);
   EXPECT_EQ(machine.lease_expired_at, clock.now());
@@ -65,7 +65,7 @@
 
 TEST_F(MachineHealthTest, MachineThatNeverHadALeaseDoesNotLoseIt) {
   add_machine("m-0").lease_renewed_at = -1;
-  clock.advance(settings.lease_s * 10);
+  clock.run_for(settings.lease_s * 10);
   health.expire_leases();
   EXPECT_TRUE(ended.empty());
 }
@@ -73,7 +73,7 @@
 TEST_F(MachineHealthTest, UnansweredCallCountsOnlyWhileHeartbeatsCome) {
   Machine& up = add_machine("m-0");
   Machine& gone = add_machine("m-1");
-  clock.advance(settings.heartbeat_interval_s * 2);
+  clock.run_for(settings.heartbeat_interval_s * 2);
   up.last_heartbeat_at = clock.now();
   health.call_unanswered(up);
   health.call_unanswered(gone);
@@ -100,7 +100,7 @@
   health.check_unreachable();
   health.check_unreachable();
   EXPECT_EQ(queried, (std::vector<std::string>{"m-0"}));
-  clock.advance(settings.heartbeat_interval_s + 0.01);
+  clock.run_for(settings.heartbeat_interval_s + 0.01);
   health.check_unreachable();
   EXPECT_EQ(queried.size(), 2u);
   EXPECT_TRUE(released.empty());
@@ -109,11 +109,11 @@
 TEST_F(MachineHealthTest, UnreachableMachineIsReleasedAfterALease) {
   Machine& machine = add_machine("m-0");
   health.suspect_unreachable(machine);
-  clock.advance(settings.lease_s);
+  clock.run_for(settings.lease_s);
   health.suspect_unreachable(machine);  // keeps the time of the first suspicion
   health.check_unreachable();
   EXPECT_TRUE(released.empty());
-  clock.advance(0.01);
+  clock.run_for(0.01);
   health.check_unreachable();
   EXPECT_EQ(released, (std::vector<std::string>{"m-0"}));
 }
@@ -125,7 +125,7 @@
   health.suspect_unreachable(being_released);
   expired.lease_expired = true;
   being_released.being_released = true;
-  clock.advance(settings.lease_s + 1);
+  clock.run_for(settings.lease_s + 1);
   health.check_unreachable();
   EXPECT_TRUE(queried.empty());
   EXPECT_TRUE(released.empty());
@@ -136,7 +136,7 @@
   for (const std::string name : {"m-0", "m-1", "m-2", "m-3"}) {
     health.suspect_unreachable(cluster.machine(name));
   }
-  clock.advance(settings.lease_s + 1);
+  clock.run_for(settings.lease_s + 1);
   health.check_unreachable();
   EXPECT_TRUE(released.empty());
   health.call_answered(cluster.machine("m-3"));
@@ -146,7 +146,7 @@
 
 TEST_F(MachineHealthTest, NewestHeartbeatOfTheFleetNeedsFourMachinesWithALease) {
   add_machines(4);
-  clock.advance(1);
+  clock.run_for(1);
   cluster.machine("m-2").last_heartbeat_at = clock.now();
   EXPECT_EQ(health.newest_heartbeat_at(), clock.now());
   cluster.machine("m-1").lease_expired = true;
--- a/tests/relay_parts_test.cpp
+++ b/tests/relay_parts_test.cpp
@@ -4,6 +4,7 @@
 #include "coordination/relay/acknowledged_heartbeats.hpp"
 #include "coordination/relay/leader_reachability.hpp"
 #include "coordination/relay/slot_pool.hpp"
+#include "fakes/manual_clock.hpp"
 #include "support.hpp"
 
 namespace larkroad::coordination {
@@ -67,20 +68,10 @@
   EXPECT_EQ(slots.acquire(), 0u);
 }
 
-// Time that stands still until a test moves it; it has no timers.
-class ManualClock : public transport::Clock {
- public:
-  Seconds now() const override { return time; }
-  Seconds unix_time() const override { return time; }
-  transport::TimerId after(Seconds, std::function<void()>) override { return 0; }
-  void cancel(transport::TimerId) override {}
-  Seconds time = 100;
-};
-
 class LeaderReachabilityTest : public ::testing::Test {
  protected:
   const Settings settings = testing::settings();
-  ManualClock clock;
+  testing::ManualClock clock{100, 0};
   LeaderReachability reachability{clock, settings};
 };
 
@@ -92,7 +83,7 @@
 TEST_F(LeaderReachabilityTest, AnAnswerCountsForOneHeartbeatInterval) {
   reachability.record_answer();
   EXPECT_TRUE(reachability.is_reachable());
-  clock.time += settings.heartbeat_interval_s * 1.01;
+  clock.run_for(settings.heartbeat_interval_s * 1.01);
   EXPECT_FALSE(reachability.is_reachable());
 }
 
@@ -105,9 +96,9 @@
 
 TEST_F(LeaderReachabilityTest, IsPartitionedOnceALeaderThatEndedWouldHaveLostItsKey) {
   reachability.record_answer();
-  clock.time += settings.lease_s * 0.19;
+  clock.run_for(settings.lease_s * 0.19);
   EXPECT_FALSE(reachability.is_partitioned());
-  clock.time += settings.lease_s * 0.02;
+  clock.run_for(settings.lease_s * 0.02);
   EXPECT_TRUE(reachability.is_partitioned());
   reachability.record_failure();
   EXPECT_TRUE(reachability.is_partitioned());
@@ -117,7 +108,7 @@
 
 TEST_F(LeaderReachabilityTest, NothingIsKnownOfANewLeader) {
   reachability.record_answer();
-  clock.time += settings.lease_s;
+  clock.run_for(settings.lease_s);
   reachability.reset();
   EXPECT_FALSE(reachability.is_reachable());
   EXPECT_FALSE(reachability.is_partitioned());
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -5,6 +5,7 @@
 
 #include <deque>
 
+#include "fakes/manual_clock.hpp"
 #include "support.hpp"
 
 namespace larkroad::coordination {
@@ -39,32 +40,6 @@
   }
 }
 
-class FakeClock : public transport::Clock {
- public:
-  Seconds now() const override { return now_; }
-  Seconds unix_time() const override { return now_; }
-  transport::TimerId after(Seconds delay, std::function<void()> fn) override {
-    timers_.emplace(now_ + delay, std::move(fn));
-    return ++next_;
-  }
-  void cancel(transport::TimerId) override {}
-  void run(Seconds length) {
-    const Seconds until = now_ + length;
-    while (!timers_.empty() && timers_.begin()->first <= until) {
-      now_ = std::max(now_, timers_.begin()->first);
-      auto fn = std::move(timers_.begin()->second);
-      timers_.erase(timers_.begin());
-      fn();
-    }
-    now_ = until;
-  }
-
- private:
-  std::multimap<Seconds, std::function<void()>> timers_;
-  Seconds now_ = 100;
-  transport::TimerId next_ = 0;
-};
-
 class FakeClient : public transport::Client {
  public:
   struct Call {
@@ -97,7 +72,7 @@
         std::to_string(sequence) + R"(,"baton":5,"recallS":null,"legs":)" + legs + "}";
     relay.forward(payload, protocol::parse_heartbeat(payload),
                   [this](Response response) { responses.push_back(std::move(response)); });
-    clock.run(settings.heartbeat_interval_s / 50);
+    clock.run_for(settings.heartbeat_interval_s / 50);
   }
   void answer(int status, const std::string& body = R"({"baton":5,"calls":[]})") {
     auto call = std::move(client.calls.front());
@@ -106,7 +81,7 @@
     call.reply(Outcome::answered, {200, protocol::encode_batch_answers(answers), 0});
   }
   Settings settings;
-  FakeClock clock;
+  testing::ManualClock clock{100, 0};
   FakeClient client;
   storage::KeyValueClient state;
   StoreRelayClient store;
@@ -142,7 +117,7 @@
   ASSERT_TRUE(client.calls[0].batch.heartbeats[0].payload.empty());
   answer(protocol::kNeedsPayload, "");
   EXPECT_EQ(responses.size(), 1u);
-  clock.run(settings.heartbeat_interval_s / 50);
+  clock.run_for(settings.heartbeat_interval_s / 50);
   ASSERT_EQ(client.calls.size(), 1u);
   EXPECT_FALSE(client.calls[0].batch.heartbeats[0].payload.empty());
   answer(200);
@@ -215,13 +190,13 @@
                   [this](Response response) { responses.push_back(std::move(response)); });
   }
   EXPECT_EQ(responses.size(), 10u);
-  clock.run(2);
+  clock.run_for(2);
   for (int i = 0; i < 2; ++i) {
     auto call = std::move(client.calls.front());
     client.calls.pop_front();
     call.reply(Outcome::unknown, {});
   }
-  clock.run(settings.heartbeat_interval_s / 50);
+  clock.run_for(settings.heartbeat_interval_s / 50);
   EXPECT_EQ(responses.size(), 12u + static_cast<size_t>(settings.sockets));
   for (const auto& response : responses) EXPECT_EQ(response.status, 503);
 }
--- a/tests/scripted_store.hpp
+++ b/tests/scripted_store.hpp
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "manual_clock.hpp"
+#include "fakes/manual_clock.hpp"
 #include "storage/key_value_client.hpp"
 #include "support.hpp"
 
@@ -17,10 +17,11 @@
 using transport::Outcome;
 using transport::Request;
 using transport::Response;
+using transport::Seconds;
 using ScriptedAnswer = std::pair<Outcome, Response>;
 
 /// Answers each call at once with the next answer of the script, and with success after its end.
-class ScriptedClient : public transport::Client {
+class ScriptedStoreClient : public transport::Client {
  public:
   void call(const std::string&, Request request, Seconds, transport::OnReply reply) override {
     sent.push_back(request);
@@ -45,7 +46,7 @@
 
   Settings settings;
   ManualClock clock;
-  ScriptedClient net;
+  ScriptedStoreClient net;
   storage::KeyValueClient client;
 };
 
--- a/tests/task_reconciler_test.cpp
+++ b/tests/task_reconciler_test.cpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "fake_clock.hpp"
+#include "fakes/manual_clock.hpp"
 #include "support.hpp"
 
 namespace larkroad::coordination {
@@ -77,14 +77,14 @@
   }
   bool is_fencing_required() {
     const int before = raised_tokens;
-    clock.advance(settings.lease_s);
+    clock.run_for(settings.lease_s);
     dispatcher.raise_fencing_token_if_due();
     return raised_tokens > before;
   }
 
   const LaunchKey key{{"job", 0}, 1};
   const Settings settings = testing::settings();
-  testing::FakeClock clock;
+  testing::ManualClock clock{100};
   SilentClient client;
   storage::KeyValueClient store{clock, client, settings};
   Election election{clock, store, settings, {}};
--- a/tests/user_api_test.cpp
+++ b/tests/user_api_test.cpp
@@ -49,7 +49,7 @@
   Response request(const Request& request) {
     std::optional<Response> got;
     api.handle(request, [&](const Response& response) { got = response; });
-    clock.run(clock.now() + 5);
+    clock.run_until(clock.now() + 5);
     return got.value();
   }
 
