--- a/src/coordination/controller/controller.cpp
+++ b/src/coordination/controller/controller.cpp
@@ -136,7 +136,7 @@
   if (request.target == protocol::kHeartbeatPath) {
     heartbeat_router_.handle_request(std::move(request), std::move(respond));
   } else {
-    request_forwarder_.handle(std::move(request), std::move(respond));
+    request_forwarder_.handle(request, std::move(respond));
   }
 }
 
--- a/tests/sim/network.cpp
+++ b/tests/sim/network.cpp
@@ -260,7 +260,7 @@
                                  Respond respond) {
   for (const auto& worker : world_.workers) {
     if (worker->address == address && !worker->terminated) {
-      worker->handle(request, std::move(respond));
+      worker->handle(request, respond);
       return;
     }
   }
