--- a/src/coordination/scaling/autoscaler.cpp
+++ b/src/coordination/scaling/autoscaler.cpp
@@ -13,34 +13,36 @@
 namespace larkroad::coordination {
 namespace {
 
-// A machine that has not come up after this many times its usual boot time never will.
-constexpr double kBootPatience = 4;
-// The cloud charges a machine for at least a minute.
-constexpr Seconds kMinimumCharge = 60;
-// An idle machine is kept for this many times what it takes to boot another.
-constexpr double kIdlePatience = 1;
-// A machine whose lease has expired is waited for this many times what it takes to boot another.
-constexpr double kExpiredPatience = 1;
-
-// Room for tasks on a machine that is there or has been requested.
-struct MachineRoom {
+// Boot timeout, as a multiple of the machine type's usual boot time.
+constexpr double kBootTimeoutFactor = 4;
+// The cloud bills at least one minute for a machine.
+constexpr Seconds kMinimumBilledTime = 60;
+// How long an idle machine is kept, as a multiple of its type's boot time.
+constexpr double kIdleTimeoutFactor = 1;
+// How long a machine with an expired lease may take to return, as a multiple of its type's boot
+// time.
+constexpr double kExpiredLeaseTimeoutFactor = 1;
+
+// A machine that exists, is being rented or is to be requested, with the capacity that is left on
+// it as the round assigns tasks.
+struct PlannedMachine {
   const MachineType* type;
   std::string zone;
   bool spot;
-  Resources room;
-  const Machine* machine = nullptr;  // null: requested
-  bool needed = false;               // some task is, or may soon be, placed here
-  bool full = false;                 // no waiting task fits any more
+  Resources free;
+  const Machine* machine = nullptr;  // null: not yet granted by the cloud
+  bool needed = false;               // runs a task or is planned to
+  bool full = false;                 // too little capacity left for any waiting task
 };
 
-// A market in which machines may be requested.
+// A market that is not in backoff.
 struct OpenMarket {
   const MachineType* type;
   Market market;
-  int requested;  // in this round
+  int requested;  // machines, in this round
 };
 
-// How many more of a job's tasks each zone may take.
+// The number of further tasks of a job that may be placed in each zone.
 class ZoneLimits {
  public:
   void set(const std::string& zone, std::uint32_t tasks) { limits_[zone] = tasks; }
@@ -49,15 +51,15 @@
     const auto it = limits_.find(zone);
     return it == limits_.end() ? 0 : it->second;
   }
-  void take(const std::string& zone, std::uint32_t tasks) {
+  void consume(const std::string& zone, std::uint32_t tasks) {
     if (!limits_.empty()) limits_[zone] -= tasks;
   }
 
  private:
-  std::map<std::string, std::uint32_t> limits_;  // empty: as many as there is room for
+  std::map<std::string, std::uint32_t> limits_;  // empty: unlimited
 };
 
-// Tasks that are to find room.
+// Tasks with the same spec that need capacity.
 struct Demand {
   const JobSpec& spec;
   Resources need;  // of one task
@@ -65,14 +67,14 @@
   ZoneLimits zones;
 };
 
-// How well a zone suits a gang that must run in one zone; the greater, the better. Choosing by room
-// alone sent all gangs to one zone, in which the cloud soon had no machines left.
+// Rank of a zone for a gang that must run in one zone; the greatest is chosen. Ranking by free
+// capacity alone would send all gangs to the same zone and exhaust the cloud's capacity there.
 struct ZoneRank {
-  bool has_room;
+  bool has_capacity;
   bool can_scale_out;
-  bool has_half_the_room;
-  double fewer_gang_tasks;  // less what has been assigned to the zone in this round
-  // clang-tidy 14 takes the compared zero for a null pointer and for a boolean.
+  bool has_half_capacity;
+  double negated_gang_tasks;  // minus the gang tasks assigned to the zone in this round
+  // clang-tidy 14 mistakes the zero that the comparison uses for a null pointer and a boolean.
   // NOLINTNEXTLINE(modernize-use-nullptr,readability-implicit-bool-conversion)
   auto operator<=>(const ZoneRank&) const = default;
 };
@@ -81,55 +83,57 @@
   return spot ? type.spot_price : type.price;
 }
 
-bool never_booted(const Machine& machine, const MachineType& type, Seconds now) {
-  return !machine.has_reported && now - machine.rented_at > kBootPatience * type.boot_s;
+bool boot_timed_out(const Machine& machine, const MachineType& type, Seconds now) {
+  return !machine.has_reported && now - machine.rented_at > kBootTimeoutFactor * type.boot_s;
 }
 
-// A machine whose lease has expired is waited for as long as another would take to boot: one that
-// hung or was cut off comes back with its images. Without this many machines that hung for a little
-// longer than their lease were all returned, and requested anew. A machine that has gone for good
-// disappears from the cloud's list.
+// A machine whose lease has expired is kept for as long as a replacement would take to boot: one
+// that hung or was cut off comes back with its image cache. Otherwise a short hang of many
+// machines, slightly longer than the lease, would release them all and rent new ones. A machine
+// that has terminated disappears from the cloud's list.
 bool is_lost(const Machine& machine, const MachineType& type, Seconds now) {
-  return machine.lease_expired && now - machine.lease_expired_at > kExpiredPatience * type.boot_s;
+  return machine.lease_expired &&
+         now - machine.lease_expired_at > kExpiredLeaseTimeoutFactor * type.boot_s;
 }
 
-// One round of scaling.
+// Computes the plan of one scaling round.
 class ScalingRound {
  public:
   ScalingRound(ClusterState& cluster, const CapacityBackoff& backoff, Seconds now)
       : cluster_(cluster), backoff_(backoff), now_(now) {}
 
   ScalingPlan run(const std::map<Market, int>& pending, Seconds start_bound) {
-    add_machines();
+    add_existing_machines();
     add_open_markets();
-    add_pending(pending);
+    add_pending_machines(pending);
     const auto forecasts = forecast(cluster_, now_);
     mark_full(forecasts);
-    for (Job* job : order_jobs(cluster_, now_, start_bound)) cover_job(*job);
+    for (Job* job : order_jobs(cluster_, now_, start_bound)) plan_capacity_for_job(*job);
     for (const ReplicaMigration& migration : replicas_to_migrate(cluster_)) {
-      cover(cluster_.job(migration.job)->spec, 1, {});
+      plan_capacity(cluster_.job(migration.job)->spec, 1, {});
     }
     for (const Forecast& expected : forecasts) {
-      cover(*expected.spec, static_cast<std::uint32_t>(std::ceil(expected.missing())), {});
+      plan_capacity(*expected.spec, static_cast<std::uint32_t>(std::ceil(expected.missing())), {});
     }
-    return {machines_to_request(), machines_to_return()};
+    return {machines_to_request(), machines_to_release()};
   }
 
  private:
-  void add_machines() {
+  void add_existing_machines() {
     for (const auto& [name, machine] : cluster_.machines()) {
       const MachineType* type = cluster_.type(machine.type);
       if (type == nullptr || machine.being_released) continue;
       if (machine.reclaimed_at || machine.quarantined) continue;
-      if (is_lost(machine, *type, now_) || never_booted(machine, *type, now_)) continue;
-      rooms_.push_back(
+      if (is_lost(machine, *type, now_) || boot_timed_out(machine, *type, now_)) continue;
+      hosts_.push_back(
           {type, machine.zone, machine.spot, machine.room(), &machine, !machine.tasks.empty()});
     }
-    // What is in use is filled up first, so that what is idle shows; then the cheap.
-    std::stable_sort(rooms_.begin(), rooms_.end(), [](const MachineRoom& a, const MachineRoom& b) {
-      if (a.needed != b.needed) return a.needed;
-      return hourly_price(*a.type, a.spot) < hourly_price(*b.type, b.spot);
-    });
+    // Machines in use are filled first, so that idle ones can be released; then the cheapest.
+    std::stable_sort(hosts_.begin(), hosts_.end(),
+                     [](const PlannedMachine& a, const PlannedMachine& b) {
+                       if (a.needed != b.needed) return a.needed;
+                       return hourly_price(*a.type, a.spot) < hourly_price(*b.type, b.spot);
+                     });
   }
 
   void add_open_markets() {
@@ -143,7 +147,7 @@
     }
   }
 
-  void add_pending(const std::map<Market, int>& pending) {
+  void add_pending_machines(const std::map<Market, int>& pending) {
     for (const auto& [market, count] : pending) {
       const MachineType* type = cluster_.type(market.type);
       if (type == nullptr) continue;
@@ -151,28 +155,29 @@
     }
   }
 
-  MachineRoom& add_requested(const MachineType& type, const Market& market) {
-    rooms_.push_back({&type, market.zone, market.spot, capacity_of(type)});
-    return rooms_.back();
+  PlannedMachine& add_requested(const MachineType& type, const Market& market) {
+    hosts_.push_back({&type, market.zone, market.spot, capacity_of(type)});
+    return hosts_.back();
   }
 
-  // Most machines of a busy fleet are full: they are skipped once, not once for each job.
+  // Marks hosts without capacity for any waiting task, so that they are not checked again for
+  // each job: on a busy fleet most machines are full.
   void mark_full(const std::vector<Forecast>& forecasts) {
     smallest_need_ = smallest_waiting_need(cluster_);
     for (const Forecast& expected : forecasts) {
       const Resources need = needs_of(*expected.spec);
       smallest_need_ = smallest_need_ ? least_of(*smallest_need_, need) : need;
     }
-    for (MachineRoom& room : rooms_) {
-      room.full = !smallest_need_ || !room.room.fits(*smallest_need_);
+    for (PlannedMachine& host : hosts_) {
+      host.full = !smallest_need_ || !host.free.fits(*smallest_need_);
     }
   }
 
-  void cover_job(const Job& job) {
-    // For what fails everywhere machines are requested only for its next try.
+  void plan_capacity_for_job(const Job& job) {
+    // A job that fails on every machine gets capacity only when its next retry is due.
     if (job.fails_everywhere() && now_ < job.retry_at) return;
     const bool one_task = job.fails_everywhere() && !job.spec.is_gang();
-    cover(job.spec, one_task ? 1 : job.waiting(), zone_limits(job));
+    plan_capacity(job.spec, one_task ? 1 : job.waiting(), zone_limits(job));
   }
 
   ZoneLimits zone_limits(const Job& job) {
@@ -187,10 +192,10 @@
     for (const auto& [task, placement] : job.placements) {
       if (const Machine* machine = cluster_.find_machine(placement.machine)) ++live[machine->zone];
     }
-    const std::uint32_t most = max_tasks_per_zone(job.spec);
+    const std::uint32_t max_tasks = max_tasks_per_zone(job.spec);
     ZoneLimits out;
     for (const auto& zone : cluster_.settings().zones) {
-      out.set(zone, most - std::min(most, live[zone]));
+      out.set(zone, max_tasks - std::min(max_tasks, live[zone]));
     }
     return out;
   }
@@ -205,7 +210,7 @@
     return out;
   }
 
-  // The zone in which the job runs already; none when it has no live task or its zone is not known.
+  // The zone in which the job already runs; none when it has no live task or the zone is unknown.
   std::optional<std::string> live_zone(const Job& job) const {
     std::optional<std::string> out;
     for (const auto& [task, placement] : job.placements) {
@@ -215,7 +220,8 @@
     return out;
   }
 
-  // The zone that suits the job best; none when no zone has machines for it.
+  // Chooses the zone of the highest rank and counts the job's tasks there; none when no zone offers
+  // an allowed machine type.
   std::optional<std::string> assign_zone(const Job& job) {
     std::optional<std::string> best;
     std::optional<ZoneRank> best_rank;
@@ -225,11 +231,11 @@
       best_rank = rank;
       best = zone;
     }
-    if (best) gang_tasks_[*best] += job.waiting();
+    if (best) gang_tasks_by_zone_[*best] += job.waiting();
     return best;
   }
 
-  // None when no type of machine there may run the job.
+  // None when no machine type offered in the zone may run the job.
   std::optional<ZoneRank> zone_rank(const Job& job, const std::string& zone) const {
     bool possible = false;
     bool can_scale_out = false;
@@ -242,56 +248,57 @@
       }
     }
     if (!possible) return std::nullopt;
-    const double room = tasks_that_fit(job, zone);
-    const auto assigned = gang_tasks_.find(zone);
-    return ZoneRank{room >= job.waiting(), can_scale_out, 2 * room >= job.waiting(),
-                    assigned == gang_tasks_.end() ? 0 : -assigned->second};
+    const double fitting = tasks_that_fit(job, zone);
+    const auto assigned = gang_tasks_by_zone_.find(zone);
+    return ZoneRank{fitting >= job.waiting(), can_scale_out, 2 * fitting >= job.waiting(),
+                    assigned == gang_tasks_by_zone_.end() ? 0 : -assigned->second};
   }
 
   double tasks_that_fit(const Job& job, const std::string& zone) const {
     double tasks = 0;
-    for (const MachineRoom& room : rooms_) {
-      if (room.full || room.zone != zone) continue;
-      if (allows(job.spec, *room.type, zone, room.spot)) {
-        tasks += room.room.times(needs_of(job.spec));
+    for (const PlannedMachine& host : hosts_) {
+      if (host.full || host.zone != zone) continue;
+      if (allows(job.spec, *host.type, zone, host.spot)) {
+        tasks += host.free.times(needs_of(job.spec));
       }
     }
     return tasks;
   }
 
-  // Finds room for `count` tasks, on machines that are there and then on some to be requested.
-  void cover(const JobSpec& spec, std::uint32_t count, ZoneLimits zones) {
+  // Assigns `count` tasks, within the team's quota, to existing and pending machines and then to
+  // machines to be requested.
+  void plan_capacity(const JobSpec& spec, std::uint32_t count, ZoneLimits zones) {
     if (cluster_.settings().team(spec.team) == nullptr) return;
-    const Resources quota = quota_left(cluster_, spec.team, planned_[spec.team]);
+    const Resources quota = quota_left(cluster_, spec.team, planned_use_[spec.team]);
     const std::uint32_t allowed = std::min(count, tasks_within(quota, spec));
     Demand demand{spec, needs_of(spec), allowed, std::move(zones)};
-    for (MachineRoom& room : rooms_) {
+    for (PlannedMachine& host : hosts_) {
       if (demand.count == 0) return;
-      if (!room.full && allows(spec, *room.type, room.zone, room.spot)) fill(room, demand);
+      if (!host.full && allows(spec, *host.type, host.zone, host.spot)) assign_tasks(host, demand);
     }
     while (demand.count > 0) {
       OpenMarket* cheapest = cheapest_market(demand);
       if (cheapest == nullptr) return;
       ++cheapest->requested;
-      fill(add_requested(*cheapest->type, cheapest->market), demand);
+      assign_tasks(add_requested(*cheapest->type, cheapest->market), demand);
     }
   }
 
-  void fill(MachineRoom& room, Demand& demand) {
+  void assign_tasks(PlannedMachine& host, Demand& demand) {
     const std::uint32_t tasks =
-        std::min({demand.count, room.room.times(demand.need), demand.zones.left(room.zone)});
+        std::min({demand.count, host.free.times(demand.need), demand.zones.left(host.zone)});
     for (std::uint32_t i = 0; i < tasks; ++i) {
-      room.room -= demand.need;
-      planned_[demand.spec.team] += demand.need;
+      host.free -= demand.need;
+      planned_use_[demand.spec.team] += demand.need;
     }
-    if (tasks > 0) room.needed = true;
-    room.full = !room.room.fits(*smallest_need_);
+    if (tasks > 0) host.needed = true;
+    host.full = !host.free.fits(*smallest_need_);
     demand.count -= tasks;
-    demand.zones.take(room.zone, tasks);
+    demand.zones.consume(host.zone, tasks);
   }
 
-  // The market with the lowest price for each task that a machine of it takes; null when none may
-  // be used.
+  // The market with the lowest price per task that fits on one of its machines; null when no market
+  // can be used.
   OpenMarket* cheapest_market(const Demand& demand) {
     OpenMarket* cheapest = nullptr;
     double lowest_price = 0;
@@ -317,51 +324,51 @@
     return out;
   }
 
-  std::vector<std::string> machines_to_return() const {
+  std::vector<std::string> machines_to_release() const {
     std::set<std::string> needed;
-    for (const MachineRoom& room : rooms_) {
-      if (room.machine != nullptr && room.needed) needed.insert(room.machine->name);
+    for (const PlannedMachine& host : hosts_) {
+      if (host.machine != nullptr && host.needed) needed.insert(host.machine->name);
     }
     std::vector<std::string> out;
     for (const auto& [name, machine] : cluster_.machines()) {
       const MachineType* type = cluster_.type(machine.type);
       if (type == nullptr || machine.being_released) continue;
-      if (is_to_be_returned(machine, *type, needed.contains(name))) out.push_back(name);
+      if (should_release(machine, *type, needed.contains(name))) out.push_back(name);
     }
     return out;
   }
 
-  bool is_to_be_returned(const Machine& machine, const MachineType& type, bool needed) const {
-    if (!machine.has_reported) return machine.tasks.empty() && never_booted(machine, type, now_);
+  bool should_release(const Machine& machine, const MachineType& type, bool needed) const {
+    if (!machine.has_reported) return machine.tasks.empty() && boot_timed_out(machine, type, now_);
     if (machine.lease_expired) return is_lost(machine, type, now_);
     if (!machine.tasks.empty()) return false;
     if (machine.quarantined) return true;
-    return !needed && now_ - machine.idle_since > kIdlePatience * type.boot_s &&
-           now_ - machine.rented_at > kMinimumCharge;
+    return !needed && now_ - machine.idle_since > kIdleTimeoutFactor * type.boot_s &&
+           now_ - machine.rented_at > kMinimumBilledTime;
   }
 
   ClusterState& cluster_;
   const CapacityBackoff& backoff_;
   Seconds now_;
-  std::vector<MachineRoom> rooms_;
+  std::vector<PlannedMachine> hosts_;
   std::vector<OpenMarket> open_markets_;
-  std::map<std::string, Resources> planned_;  // for tasks that have found room, by team
+  std::map<std::string, Resources> planned_use_;  // of tasks assigned in this round, by team
   std::optional<Resources> smallest_need_;
-  std::map<std::string, double> gang_tasks_;  // of gangs assigned to one zone, by zone
+  std::map<std::string, double> gang_tasks_by_zone_;  // of one-zone gangs, in this round
 };
 
 }  // namespace
 
-void CapacityBackoff::record_failure(const Market& market, Seconds now, Seconds first_pause,
-                                     Seconds longest_pause) {
-  Pause& pause = pauses_[market];
-  pause.length = pause.length == 0 ? first_pause : std::min(pause.length * 2, longest_pause);
-  pause.until = now + pause.length;
+void CapacityBackoff::record_failure(const Market& market, Seconds now, Seconds initial_delay,
+                                     Seconds max_delay) {
+  Backoff& backoff = backoffs_[market];
+  backoff.delay = backoff.delay == 0 ? initial_delay : std::min(backoff.delay * 2, max_delay);
+  backoff.until = now + backoff.delay;
 }
 
 bool CapacityBackoff::may_request(const Market& market, Seconds now) const {
-  const auto it = pauses_.find(market);
-  return it == pauses_.end() || now >= it->second.until;
+  const auto it = backoffs_.find(market);
+  return it == backoffs_.end() || now >= it->second.until;
 }
 
 ScalingPlan plan_scaling(ClusterState& cluster, const CapacityBackoff& backoff,
--- a/src/coordination/scaling/autoscaler.hpp
+++ b/src/coordination/scaling/autoscaler.hpp
@@ -1,8 +1,8 @@
-/// The autoscaler: decides how many machines of which kind to request from the cloud (scale out)
-/// and which to return (scale in).
+/// The autoscaler: decides how many machines of which type to request from the cloud (scale-out)
+/// and which machines to release (scale-in).
 ///
-/// Decisions are functions of the cluster's state and the time; the leader carries them out and
-/// reports the cloud's answers to `CapacityBackoff`.
+/// A plan depends only on the cluster state, the capacity backoff and the time. `CloudReconciler`
+/// carries it out and records the cloud's responses in `CapacityBackoff`.
 #pragma once
 
 #include <map>
@@ -13,39 +13,38 @@
 
 namespace larkroad::coordination {
 
-/// What the cloud offers machines by: one type in one zone, spot or on demand.
+/// The unit in which the cloud offers capacity: one machine type in one zone, spot or on-demand.
 struct Market {
   std::string type;
   std::string zone;
   bool spot = false;
-  // clang-tidy 14 takes the compared zero for a null pointer and for a boolean.
+  // clang-tidy 14 mistakes the zero that the comparison uses for a null pointer and a boolean.
   // NOLINTNEXTLINE(modernize-use-nullptr,readability-implicit-bool-conversion)
   auto operator<=>(const Market&) const = default;
 };
 
-/// Markets in which the cloud has lately had no capacity. Each is tried again after a pause that
-/// doubles with every failure.
+/// Exponential backoff for markets in which the cloud has no capacity: the delay before the next
+/// request doubles with every failure.
 class CapacityBackoff {
  public:
-  /// Records that a request has failed. The first pause takes `first_pause`; no pause takes longer
-  /// than `longest_pause`.
-  void record_failure(const Market& market, Seconds now, Seconds first_pause,
-                      Seconds longest_pause);
-  /// Records that a request has been granted, which ends the pauses.
-  void record_success(const Market& market) { pauses_.erase(market); }
-  /// Whether machines may be requested in the market now.
+  /// Records a failed request. The first delay is `initial_delay`; later ones are at most
+  /// `max_delay`.
+  void record_failure(const Market& market, Seconds now, Seconds initial_delay, Seconds max_delay);
+  /// Records a granted request, which resets the backoff.
+  void record_success(const Market& market) { backoffs_.erase(market); }
+  /// Whether machines may be requested in the market at this time.
   bool may_request(const Market& market, Seconds now) const;
-  void clear() { pauses_.clear(); }
+  void clear() { backoffs_.clear(); }
 
  private:
-  struct Pause {
+  struct Backoff {
     Seconds until = 0;
-    Seconds length = 0;
+    Seconds delay = 0;
   };
-  std::map<Market, Pause> pauses_;
+  std::map<Market, Backoff> backoffs_;
 };
 
-/// Machines to be requested in one market.
+/// A number of machines to request in one market.
 struct ScaleOut {
   Market market;
   int count = 1;
@@ -53,11 +52,11 @@
 
 struct ScalingPlan {
   std::vector<ScaleOut> scale_out;
-  std::vector<std::string> scale_in;  ///< the names of the machines to be returned
+  std::vector<std::string> scale_in;  ///< names of the machines to release
 };
 
-/// Decides one round of scaling. `pending`: machines that have been requested without an answer so
-/// far, by market. `start_bound`: as in `aging_of`.
+/// Computes the plan of one scaling round. `pending`: machines requested but not yet granted or
+/// refused, by market. `start_bound`: as in `aging_of`.
 ScalingPlan plan_scaling(ClusterState& cluster, const CapacityBackoff& backoff,
                          const std::map<Market, int>& pending, Seconds now, Seconds start_bound);
 
--- a/src/coordination/scaling/cloud_reconciler.cpp
+++ b/src/coordination/scaling/cloud_reconciler.cpp
@@ -15,12 +15,12 @@
 using transport::Response;
 
 constexpr Seconds kCloudTimeout = 10;
-// Prices change; the catalog is asked again after this many lags of the machine list.
+// How often the catalog is read again, as prices change; in lags of the machine list.
 constexpr double kCatalogRefreshLags = 10;
-// The longest capacity backoff, in lags of the machine list; the first is one lag.
+// The maximum capacity backoff, in lags of the machine list; the initial one is one lag.
 constexpr double kMaxBackoffLags = 8;
-// The workers of an earlier leader have this many heartbeat intervals to report to this one before
-// the first scaling round.
+// Delay of the first scaling round after recovery, in heartbeat intervals: the workers of an
+// earlier leader report to this one meanwhile.
 constexpr double kFirstRoundIntervals = 1.5;
 
 Market market_of(const protocol::RentalRequest& request) {
@@ -31,7 +31,7 @@
   return outcome == Outcome::answered && response.status == http_status::kOk;
 }
 
-// Whether the cloud has refused the rental for good, so that the same request is not repeated.
+// Whether the cloud has definitively refused the rental, so that this request is not retried.
 bool is_refusal(Outcome outcome, const Response& response) {
   if (outcome != Outcome::answered) return false;
   const bool no_capacity = response.status == http_status::kServiceUnavailable &&
@@ -71,31 +71,28 @@
 
 void CloudReconciler::start(Seconds recovered_at) {
   recovered_at_ = recovered_at;
-  list_machines();
+  start_listing();
 }
 
 void CloudReconciler::run_scaling_round() {
   if (!leadership_.is_leader() || !catalog_.known()) return;
-  // Until the machines of an earlier leader have had time to report, the fleet is not known.
+  // The fleet is unknown until the machines of an earlier leader have had time to report.
   const Seconds started_at = clock_.now();
   if (!listed_once_ ||
       started_at - recovered_at_ < settings_.heartbeat_interval_s * kFirstRoundIntervals) {
     return;
   }
-  const ScalingPlan decided = plan_scaling(cluster_, capacity_backoff_, pending_rentals_,
-                                           started_at, settings_.operators.start_bound_s);
+  const ScalingPlan plan = plan_scaling(cluster_, capacity_backoff_, pending_rentals_, started_at,
+                                        settings_.operators.start_bound_s);
   activity_.fleet_time += clock_.now() - started_at;
-  for (const auto& wanted : decided.scale_out) request_machines(wanted.market, wanted.count);
-  if (!decided.scale_in.empty()) release_machines(decided.scale_in);
+  for (const auto& request : plan.scale_out) request_machines(request.market, request.count);
+  if (!plan.scale_in.empty()) release_machines(plan.scale_in);
 }
 
-// A machine that is never reached within a lease holds no task any more, as its worker's own lease
-// has expired too. When that would be a large part of the fleet, the fault is more likely on this
-// side, and nothing is released.
-// ------------------------------------------------------------------------------------ Rentals
+// Rentals.
 
 void CloudReconciler::request_machines(const Market& market, int count) {
-  // The fencing token is this term's own, so no controller and no term ever uses the name again.
+  // The fencing token is unique to this term, so no other term or controller reuses the id.
   protocol::RentalRequest request;
   request.request =
       "r-" + std::to_string(leadership_.fencing_token()) + "-" + std::to_string(++rental_requests_);
@@ -114,40 +111,42 @@
   client_.call(settings_.cloud.text(),
                {"POST", protocol::kRentPath, protocol::encode_rental(request)}, kCloudTimeout,
                scope_.wrap([this, request, sent_at](Outcome outcome, const Response& response) {
-                 rental_answered(request, sent_at, outcome, response);
+                 handle_rental_response(request, sent_at, outcome, response);
                }));
 }
 
-void CloudReconciler::rental_answered(const protocol::RentalRequest& request, Seconds sent_at,
-                                      Outcome outcome, const Response& response) {
+void CloudReconciler::handle_rental_response(const protocol::RentalRequest& request,
+                                             Seconds sent_at, Outcome outcome,
+                                             const Response& response) {
   if (is_ok(outcome, response)) {
-    rental_granted(request, sent_at, response.body);
+    handle_granted_rental(request, sent_at, response.body);
     return;
   }
   if (is_refusal(outcome, response)) {
     spdlog::info("scale-out refused: request={} status={} type={} zone={} spot={}", request.request,
                  response.status, request.type, request.zone, request.spot);
-    rental_settled(request);
+    remove_pending_rental(request);
     back_off(market_of(request));
     return;
   }
-  // Without an answer it is repeated under the same name, whether or not it was carried out.
+  // The outcome is unknown; the request is idempotent and is retried under the same id.
   scope_.after(settings_.heartbeat_interval_s, [this, request] { send_rental_request(request); });
 }
 
-void CloudReconciler::rental_granted(const protocol::RentalRequest& request, Seconds sent_at,
-                                     const std::string& body) {
+void CloudReconciler::handle_granted_rental(const protocol::RentalRequest& request, Seconds sent_at,
+                                            const std::string& body) {
   std::vector<std::string> names;
   try {
     names = protocol::parse_rented(body);
   } catch (const std::exception& error) {
-    spdlog::error("cloud answer invalid: request={} error=\"{}\"", request.request, error.what());
+    spdlog::error("rental response invalid: request={} error=\"{}\"", request.request,
+                  error.what());
   }
-  rental_settled(request);
+  remove_pending_rental(request);
   for (const auto& name : names) {
     Machine& machine = cluster_.machine(name);
     if (machine.rented_at == 0) machine.rented_at = sent_at;
-    // Whatever it reports comes after the beginning of this term.
+    // It was rented in this term, so none of its reports can be a late copy from an earlier one.
     machine.identity_confirmed = true;
     machine.known_to_exist_at = std::max(machine.known_to_exist_at, clock_.now());
     machine.zone = request.zone;
@@ -162,7 +161,7 @@
   }
 }
 
-void CloudReconciler::rental_settled(const protocol::RentalRequest& request) {
+void CloudReconciler::remove_pending_rental(const protocol::RentalRequest& request) {
   const Market market = market_of(request);
   int& pending = pending_rentals_[market];
   pending -= request.count;
@@ -174,7 +173,7 @@
                                    settings_.list_lag_s * kMaxBackoffLags);
 }
 
-// ----------------------------------------------------------------------------------- Releases
+// Releases.
 
 void CloudReconciler::release_machines(const std::vector<std::string>& names) {
   std::vector<std::string> batch;
@@ -190,12 +189,12 @@
   client_.call(settings_.cloud.text(),
                {"POST", protocol::kReturnPath, protocol::encode_return(batch)}, kCloudTimeout,
                scope_.wrap([this, batch](Outcome outcome, const Response& response) {
-                 release_answered(batch, outcome, response);
+                 handle_release_response(batch, outcome, response);
                }));
 }
 
-void CloudReconciler::release_answered(const std::vector<std::string>& names, Outcome outcome,
-                                       const Response& response) {
+void CloudReconciler::handle_release_response(const std::vector<std::string>& names,
+                                              Outcome outcome, const Response& response) {
   if (is_ok(outcome, response)) {
     for (const auto& name : names) remove_machine(name, "released");
     return;
@@ -220,11 +219,11 @@
   callbacks_.machine_removed(name);
 }
 
-// ------------------------------------------------------------------------------- Machine list
+// Machine list.
 
-void CloudReconciler::list_machines() {
+void CloudReconciler::start_listing() {
   scope_.after(settings_.list_lag_s > 0 ? settings_.list_lag_s / 2 : settings_.heartbeat_interval_s,
-               [this] { list_machines(); });
+               [this] { start_listing(); });
   if (listing_ || !leadership_.is_leader()) return;
   listing_ = true;
   request_page("", clock_.now());
@@ -233,12 +232,12 @@
 void CloudReconciler::request_page(const std::string& after, Seconds list_started_at) {
   client_.call(settings_.cloud.text(), {"GET", protocol::list_target(after), ""}, kCloudTimeout,
                scope_.wrap([this, list_started_at](Outcome outcome, const Response& response) {
-                 page_answered(list_started_at, outcome, response);
+                 handle_page_response(list_started_at, outcome, response);
                }));
 }
 
-void CloudReconciler::page_answered(Seconds list_started_at, Outcome outcome,
-                                    const Response& response) {
+void CloudReconciler::handle_page_response(Seconds list_started_at, Outcome outcome,
+                                           const Response& response) {
   if (!is_ok(outcome, response)) {
     listing_ = false;
     return;
@@ -256,20 +255,21 @@
     return;
   }
   listing_ = false;
-  list_completed(list_started_at);
+  finish_listing(list_started_at);
 }
 
 void CloudReconciler::apply_page(const protocol::MachinePage& page, Seconds list_started_at) {
   std::vector<std::string> failed;
   for (const auto& listed : page.machines) {
     if (removed_.contains(listed.name)) continue;
-    apply_listed(listed, list_started_at);
+    apply_listed_machine(listed, list_started_at);
     if (listed.state == ListedState::failed) failed.push_back(listed.name);
   }
-  for (const auto& name : failed) machine_failed(name);
+  for (const auto& name : failed) handle_failed_machine(name);
 }
 
-void CloudReconciler::apply_listed(const protocol::ListedMachine& listed, Seconds list_started_at) {
+void CloudReconciler::apply_listed_machine(const protocol::ListedMachine& listed,
+                                           Seconds list_started_at) {
   Machine& machine = cluster_.machine(listed.name);
   machine.listed_at = list_started_at;
   if (machine.rented_at == 0) machine.rented_at = clock_.now() - listed.age_s;
@@ -284,36 +284,37 @@
   }
 }
 
-// It stopped on its own, and all that was on it; it stays listed until it is released.
-void CloudReconciler::machine_failed(const std::string& name) {
+// The machine has stopped by itself with all its tasks; it stays listed until it is released.
+void CloudReconciler::handle_failed_machine(const std::string& name) {
   Machine* machine = cluster_.find_machine(name);
   if (machine == nullptr || machine->being_released) return;
   callbacks_.all_tasks_lost(*machine, "machine " + name + " failed");
   release_machines({name});
 }
 
-void CloudReconciler::list_completed(Seconds list_started_at) {
+void CloudReconciler::finish_listing(Seconds list_started_at) {
   listed_once_ = true;
   if (list_started_at > catalog_refreshed_at_ + settings_.list_lag_s * kCatalogRefreshLags) {
     catalog_refreshed_at_ = list_started_at;
     catalog_.refresh();
   }
   remove_missing_machines(list_started_at);
-  removed_.forget_before(list_started_at - 4 * settings_.list_lag_s - 4 * settings_.lease_s);
+  removed_.prune_before(list_started_at - 4 * settings_.list_lag_s - 4 * settings_.lease_s);
 }
 
-// A list shows a moment at most two lags ago. One that lacks a machine which an older moment
-// showed, or which was rented before that moment, proves that it has been removed.
+// A list describes the fleet as it was at most two lags ago. If it lacks a machine that is known to
+// have existed before that time, the machine has been removed.
 void CloudReconciler::remove_missing_machines(Seconds list_started_at) {
-  const Seconds oldest =
+  const Seconds oldest_snapshot =
       list_started_at - 2 * settings_.list_lag_s - settings_.heartbeat_interval_s;
   std::vector<std::string> missing;
   for (const auto& [name, machine] : cluster_.machines()) {
-    // A machine of an earlier leader's records counts too: when leaders change often, each would
-    // otherwise wait anew for the lease of one that has long been removed.
-    const Seconds known = std::max(machine.listed_at, machine.known_to_exist_at);
-    const bool known_before = known > 0 && known < oldest;
-    const bool may_be_removed = machine.last_heartbeat_at < oldest || machine.listed_at > 0;
+    // Machines from an earlier leader's records count as known. Otherwise, with frequent leader
+    // changes, each leader would wait again for the lease of a machine removed long ago.
+    const Seconds last_known_at = std::max(machine.listed_at, machine.known_to_exist_at);
+    const bool known_before = last_known_at > 0 && last_known_at < oldest_snapshot;
+    const bool may_be_removed =
+        machine.last_heartbeat_at < oldest_snapshot || machine.listed_at > 0;
     if (machine.listed_at != list_started_at && known_before && may_be_removed) {
       missing.push_back(name);
     }
--- a/src/coordination/scaling/cloud_reconciler.hpp
+++ b/src/coordination/scaling/cloud_reconciler.hpp
@@ -1,5 +1,5 @@
-/// Reconciles the cluster's machines with the cloud: what the cloud lists, what the leader wants to
-/// have, and what it wants to release.
+/// Reconciles the cluster's machines with the cloud: reads the machine list, rents the machines
+/// that the autoscaler asks for and releases those that are no longer needed.
 #pragma once
 
 #include <cstdint>
@@ -21,70 +21,72 @@
 
 namespace larkroad::coordination {
 
-/// All calls that the leader makes to the cloud, for one term of leadership at a time.
+/// Makes the leader's rental, release and list calls to the cloud, for one term of leadership at a
+/// time.
 ///
-/// It owns the rental requests under way, the capacity backoff and the progress of the machine
-/// list, and writes to the cluster which machines there are. `begin_term` and `end_term` drop the
-/// answers of an earlier term. The leader calls `start` once its state is recovered, and then
-/// `run_scaling_round` from its loop; MachineHealth has unreachable machines released.
+/// Owns the pending rental requests, the capacity backoff and the progress of the machine list, and
+/// adds machines to the cluster state and removes them. After `begin_term` or `end_term`, responses
+/// to calls of the earlier term are ignored. The leader calls `start` once its state is recovered,
+/// and then `run_scaling_round` from its loop. MachineHealth has unreachable machines released
+/// through `release_machines`.
 class CloudReconciler {
  public:
-  /// What the reconciler tells the rest of the leader; all are called on the event loop's thread.
+  /// Callbacks to other parts of the leader, all on the event loop's thread.
   struct Callbacks {
     /// Asks the worker on the machine for its status.
     std::function<void(Machine&)> inspect;
-    /// The machine has failed or been removed, and every task on it with it. It is still in the
-    /// cluster at this time.
+    /// The machine has failed or been removed, and its tasks are lost. Called while the machine is
+    /// still in the cluster state.
     std::function<void(Machine&, const std::string& reason)> all_tasks_lost;
-    /// The machine is no longer in the cluster.
+    /// The machine has been removed from the cluster state.
     std::function<void(const std::string& machine)> machine_removed;
   };
 
-  /// `removed`: written here, asked by heartbeat processing. `activity`: the time that scaling
-  /// rounds take is added to it.
+  /// `removed`: written here and read by heartbeat processing. `activity`: receives the time spent
+  /// in scaling rounds.
   CloudReconciler(transport::Clock& clock, transport::Client& client, const Leadership& leadership,
                   const Settings& settings, MachineCatalog& catalog, ClusterState& cluster,
                   RemovedMachines& removed, LeaderActivity& activity, Callbacks callbacks);
 
-  /// Forgets everything of an earlier term.
+  /// Resets the state of an earlier term.
   void begin_term();
-  /// Answers and timers that are under way have no effect any more.
+  /// Cancels the effect of pending calls and timers.
   void end_term();
-  /// Begins to read the machine list, again and again. `recovered_at`: when the leader had
-  /// recovered its state.
+  /// Starts reading the machine list periodically. `recovered_at`: when the leader had recovered
+  /// its state.
   void start(Seconds recovered_at);
 
-  /// Decides on machines to request and to release, and does so.
+  /// Plans one scaling round and sends its rental and release requests.
   void run_scaling_round();
-  /// Releases these machines, as far as they are in the cluster and not being released yet; a call
-  /// that fails is repeated.
+  /// Releases those of the machines that are in the cluster and not already being released. Failed
+  /// calls are retried.
   void release_machines(const std::vector<std::string>& names);
-  /// Whether this term has seen the whole machine list.
+  /// Whether the machine list has been read completely in this term.
   bool has_listed() const { return listed_once_; }
 
  private:
   void request_machines(const Market& market, int count);
   void send_rental_request(const protocol::RentalRequest& request);
-  void rental_answered(const protocol::RentalRequest& request, Seconds sent_at,
-                       transport::Outcome outcome, const transport::Response& response);
-  void rental_granted(const protocol::RentalRequest& request, Seconds sent_at,
-                      const std::string& body);
-  void rental_settled(const protocol::RentalRequest& request);
+  void handle_rental_response(const protocol::RentalRequest& request, Seconds sent_at,
+                              transport::Outcome outcome, const transport::Response& response);
+  void handle_granted_rental(const protocol::RentalRequest& request, Seconds sent_at,
+                             const std::string& body);
+  void remove_pending_rental(const protocol::RentalRequest& request);
   void back_off(const Market& market);
 
-  void release_answered(const std::vector<std::string>& names, transport::Outcome outcome,
-                        const transport::Response& response);
+  void handle_release_response(const std::vector<std::string>& names, transport::Outcome outcome,
+                               const transport::Response& response);
   void retry_release(const std::vector<std::string>& names);
   void remove_machine(const std::string& name, const std::string& reason);
 
-  void list_machines();
+  void start_listing();
   void request_page(const std::string& after, Seconds list_started_at);
-  void page_answered(Seconds list_started_at, transport::Outcome outcome,
-                     const transport::Response& response);
+  void handle_page_response(Seconds list_started_at, transport::Outcome outcome,
+                            const transport::Response& response);
   void apply_page(const protocol::MachinePage& page, Seconds list_started_at);
-  void apply_listed(const protocol::ListedMachine& listed, Seconds list_started_at);
-  void machine_failed(const std::string& name);
-  void list_completed(Seconds list_started_at);
+  void apply_listed_machine(const protocol::ListedMachine& listed, Seconds list_started_at);
+  void handle_failed_machine(const std::string& name);
+  void finish_listing(Seconds list_started_at);
   void remove_missing_machines(Seconds list_started_at);
 
   transport::Clock& clock_;
@@ -99,12 +101,12 @@
 
   transport::CallbackScope scope_;  // of this term of leadership
   CapacityBackoff capacity_backoff_;
-  std::map<Market, int> pending_rentals_;  // machines requested and not yet answered for
+  std::map<Market, int> pending_rentals_;  // machines whose rental has no response yet
   std::uint64_t rental_requests_ = 0;      // sent in this term
   Seconds recovered_at_ = 0;
-  bool listing_ = false;  // a list is being read
+  bool listing_ = false;  // a list read is in progress
   bool listed_once_ = false;
-  Seconds catalog_refreshed_at_ = 0;  // kept over terms
+  Seconds catalog_refreshed_at_ = 0;  // kept across terms
 };
 
 }  // namespace larkroad::coordination
--- a/src/coordination/scaling/fleet_usage.cpp
+++ b/src/coordination/scaling/fleet_usage.cpp
@@ -17,7 +17,7 @@
   Resources running;
 };
 
-struct WaitingWork {
+struct QueueDepth {
   int jobs = 0;
   std::uint32_t tasks = 0;
 };
@@ -47,13 +47,13 @@
   return by_type;
 }
 
-std::map<std::string, WaitingWork> waiting_by_class(const ClusterState& cluster) {
+std::map<std::string, QueueDepth> queue_depth_by_class(const ClusterState& cluster) {
   std::map<std::string, WaitingWork> by_class;
   for (const auto& [id, job] : cluster.jobs()) {
     if (job->waiting() == 0) continue;
-    WaitingWork& waiting = by_class[job->spec.job_class];
-    ++waiting.jobs;
-    waiting.tasks += job->waiting();
+    QueueDepth& depth = by_class[job->spec.job_class];
+    ++depth.jobs;
+    depth.tasks += job->waiting();
   }
   return by_class;
 }
@@ -69,9 +69,8 @@
         type, usage.up, usage.booting, usage.idle, usage.running.gpus, usage.placed.gpus,
         usage.capacity.gpus, usage.running.cpus, usage.placed.cpus, usage.capacity.cpus);
   }
-  for (const auto& [job_class, waiting] : waiting_by_class(cluster)) {
-    spdlog::debug("work waiting: class={} jobs={} tasks={}", job_class, waiting.jobs,
-                  waiting.tasks);
+  for (const auto& [job_class, depth] : queue_depth_by_class(cluster)) {
+    spdlog::debug("queue depth: class={} jobs={} tasks={}", job_class, depth.jobs, depth.tasks);
   }
   spdlog::debug(
       "leader activity: scheduling_cycles={} scheduling_ms={:.1f} scaling_ms={:.1f} "
--- a/src/coordination/scaling/fleet_usage.hpp
+++ b/src/coordination/scaling/fleet_usage.hpp
@@ -1,4 +1,4 @@
-/// Debug output of how the fleet is used and what the leader spends its time on.
+/// Debug logging of fleet usage, queue depth and the leader's activity.
 #pragma once
 
 #include <cstddef>
@@ -7,18 +7,18 @@
 
 namespace larkroad::coordination {
 
-/// What the leader did since the last line on the use of the fleet; for that line alone.
+/// Counters of the leader's work since they were last logged by `log_fleet_usage`.
 struct LeaderActivity {
   int planning_rounds = 0;
-  Seconds planning_time = 0;  ///< in scheduling cycles
-  Seconds fleet_time = 0;     ///< in scaling rounds
+  Seconds planning_time = 0;  ///< spent in scheduling cycles
+  Seconds fleet_time = 0;     ///< spent in scaling rounds
   size_t heartbeats = 0;
-  size_t direct_calls = 0;  ///< calls with commands straight to a worker
+  size_t direct_calls = 0;  ///< command calls sent straight to workers
   size_t reported_tasks = 0;
 };
 
-/// Logs, at debug level, how the fleet is used, and then what the leader did since the last time.
-/// Resets `activity`. Does nothing when debug output is off.
+/// Logs at debug level the usage of each machine type, the queue depth of each job class and the
+/// leader's activity, and resets `activity`. Does nothing when debug logging is off.
 void log_fleet_usage(const ClusterState& cluster, LeaderActivity& activity);
 
 }  // namespace larkroad::coordination
--- a/src/coordination/scaling/machine_catalog.cpp
+++ b/src/coordination/scaling/machine_catalog.cpp
@@ -7,9 +7,9 @@
 
 constexpr Seconds kCloudTimeout = 5;
 constexpr int kHttpOk = 200;
-// How long a controller waits before it reads the catalog again, as a part of the heartbeat
-// interval: a few tries a second of the store and the cloud, from all controllers together.
-constexpr double kRetryRatio = 1.0 / 4;
+// Delay before the catalog is read again, in heartbeat intervals: all controllers together send the
+// store and the cloud a few requests a second.
+constexpr double kReadRetryIntervals = 1.0 / 4;
 
 }  // namespace
 
@@ -23,18 +23,18 @@
 
 void MachineCatalog::handle_stored(storage::Status status, const storage::Entry& entry) {
   if (known()) return;
-  if (status == storage::Status::ok && adopt_stored(entry)) return;
+  if (status == storage::Status::ok && apply_stored(entry)) return;
   if (status == storage::Status::missing) refresh();
-  clock_.after(settings_.heartbeat_interval_s * kRetryRatio, [this] {
+  clock_.after(settings_.heartbeat_interval_s * kReadRetryIntervals, [this] {
     if (!known()) read_stored();
   });
 }
 
-// Returns whether the entry holds a valid catalog.
-bool MachineCatalog::adopt_stored(const storage::Entry& entry) {
+// Applies the stored catalog. Returns whether it is valid.
+bool MachineCatalog::apply_stored(const storage::Entry& entry) {
   stored_ = true;
   try {
-    adopt(protocol::parse_catalog(entry.data.dump()));
+    set_types(protocol::parse_catalog(entry.data.dump()));
   } catch (const std::exception& error) {
     spdlog::error("stored machine catalog is invalid: error=\"{}\"", error.what());
     return false;
@@ -45,23 +45,23 @@
 void MachineCatalog::refresh() {
   client_.call(settings_.cloud.text(), {"GET", protocol::kCatalogPath, ""}, kCloudTimeout,
                [this](transport::Outcome outcome, const transport::Response& response) {
-                 handle_answer(outcome, response);
+                 handle_response(outcome, response);
                });
 }
 
-void MachineCatalog::handle_answer(transport::Outcome outcome,
-                                   const transport::Response& response) {
+void MachineCatalog::handle_response(transport::Outcome outcome,
+                                     const transport::Response& response) {
   if (outcome != transport::Outcome::answered || response.status != kHttpOk) return;
   try {
-    adopt(protocol::parse_catalog(response.body));
+    set_types(protocol::parse_catalog(response.body));
   } catch (const std::exception& error) {
-    spdlog::error("the cloud's machine catalog is invalid: error=\"{}\"", error.what());
+    spdlog::error("machine catalog from the cloud is invalid: error=\"{}\"", error.what());
     return;
   }
   if (!stored_) store();
 }
 
-void MachineCatalog::adopt(std::vector<protocol::MachineType> types) {
+void MachineCatalog::set_types(std::vector<protocol::MachineType> types) {
   if (types.empty()) return;
   types_ = std::move(types);
   on_change_();
@@ -69,11 +69,12 @@
 
 void MachineCatalog::store() {
   const auto record = storage::Json::parse(protocol::encode_catalog(types_));
-  const double most_bytes = settings_.lasting_store_limits().value_bytes();
-  if (!storage::fits_value(record, most_bytes)) {
+  const double max_bytes = settings_.lasting_store_limits().value_bytes();
+  if (!storage::fits_value(record, max_bytes)) {
     spdlog::info(
-        "machine catalog is too large to be stored, controllers ask the cloud: bytes_max={}",
-        most_bytes);
+        "machine catalog too large for the key-value store, controllers read it from the cloud: "
+        "bytes_max={}",
+        max_bytes);
     stored_ = true;
     return;
   }
--- a/src/coordination/scaling/machine_catalog.hpp
+++ b/src/coordination/scaling/machine_catalog.hpp
@@ -1,4 +1,4 @@
-/// The machine types that this controller knows.
+/// The catalog of machine types.
 #pragma once
 
 #include <functional>
@@ -15,18 +15,18 @@
 
 using transport::Seconds;
 
-/// Reads the catalog of machine types from the key-value store at start, or else from the cloud,
-/// and stores what the cloud has answered for the other controllers. The leader refreshes the
-/// prices. Owned by the controller, on the one thread of the event loop.
+/// Reads the catalog of machine types from the key-value store at start. If none is stored, reads
+/// it from the cloud and stores it for the other controllers. The leader refreshes the prices.
+/// Owned by the controller and used only on the event loop's thread.
 class MachineCatalog {
  public:
   MachineCatalog(transport::Clock& clock, transport::Client& client, storage::KeyValueClient& store,
                  const Settings& settings)
       : clock_(clock), client_(client), store_(store), settings_(settings) {}
 
-  /// Reads the catalog, again and again until it is known.
+  /// Starts reading the catalog; retries until it is known.
   void start();
-  /// Asks the cloud for the present types and prices. On a failure those known before stay.
+  /// Requests current types and prices from the cloud. On failure the previous ones are kept.
   void refresh();
   bool known() const { return !types_.empty(); }
   const std::vector<protocol::MachineType>& types() const { return types_; }
@@ -36,9 +36,9 @@
  private:
   void read_stored();
   void handle_stored(storage::Status status, const storage::Entry& entry);
-  bool adopt_stored(const storage::Entry& entry);
-  void handle_answer(transport::Outcome outcome, const transport::Response& response);
-  void adopt(std::vector<protocol::MachineType> types);
+  bool apply_stored(const storage::Entry& entry);
+  void handle_response(transport::Outcome outcome, const transport::Response& response);
+  void set_types(std::vector<protocol::MachineType> types);
   void store();
 
   transport::Clock& clock_;
@@ -46,7 +46,7 @@
   storage::KeyValueClient& store_;
   const Settings& settings_;
   std::vector<protocol::MachineType> types_;
-  bool stored_ = false;  // in the key-value store, or too large to be
+  bool stored_ = false;  // is in the key-value store, or too large for it
   std::function<void()> on_change_ = [] {};
 };
 
--- a/src/coordination/scaling/removed_machines.hpp
+++ b/src/coordination/scaling/removed_machines.hpp
@@ -1,4 +1,4 @@
-/// Machines that are known to have been removed, though the cloud's list may still name them.
+/// Machines known to have been removed, although the cloud's list may still contain them.
 #pragma once
 
 #include <map>
@@ -10,15 +10,16 @@
 
 using transport::Seconds;
 
-/// Written by the CloudReconciler; heartbeat processing asks it, so that a late heartbeat or a list
-/// that lags does not bring a removed machine back into the cluster.
+/// Tombstones of removed machines: they keep a late heartbeat or a stale machine list from adding a
+/// removed machine to the cluster state again. Written by CloudReconciler and also read by
+/// heartbeat processing.
 class RemovedMachines {
  public:
   void add(const std::string& machine, Seconds now) { removed_at_[machine] = now; }
   bool contains(const std::string& machine) const { return removed_at_.contains(machine); }
 
-  /// Forgets those that were removed before `oldest`.
-  void forget_before(Seconds oldest) {
+  /// Drops the entries of machines removed before `oldest`.
+  void prune_before(Seconds oldest) {
     std::erase_if(removed_at_, [&](const auto& removed) { return removed.second < oldest; });
   }
   void clear() { removed_at_.clear(); }
