--- a/tests/cloud_reconciler_test.cpp
+++ b/tests/cloud_reconciler_test.cpp
@@ -1,4 +1,4 @@
-// The reconciliation with the cloud, made alone: the test answers its calls.
+// CloudReconciler in isolation; the tests answer its calls to the cloud.
 #include "coordination/scaling/cloud_reconciler.hpp"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 using transport::Outcome;
 using transport::Request;
 
-// Keeps each call until the test answers it; calls for the catalog are answered at once.
+// Records each call for the test to answer; catalog calls are answered immediately.
 class RecordingClient : public transport::Client {
  public:
   struct Call {
@@ -72,7 +72,8 @@
     reconciler_.start(clock_.now());
   }
 
-  static std::string list_of(const std::vector<std::string>& names, const std::string& stage) {
+  static std::string list_response(const std::vector<std::string>& names,
+                                   const std::string& stage) {
     protocol::Json machines = protocol::Json::array();
     for (const auto& name : names) {
       machines.push_back({{"ref", name},
@@ -86,15 +87,16 @@
     return protocol::Json{{"perches", machines}}.dump();
   }
 
-  // Answers the newest call of the list; `start` has sent the first.
+  // Answers the latest list call; `start` has sent the first one.
   void answer_list(const std::vector<std::string>& names, const std::string& stage = "running") {
     const auto lists = client_.sent_to(protocol::list_target(""));
     ASSERT_FALSE(lists.empty());
-    lists.back().reply(Outcome::answered, {200, list_of(names, stage)});
+    lists.back().reply(Outcome::answered, {200, list_response(names, stage)});
   }
 
-  // Answers the first list and waits for the earlier leader's machines, as a round requires.
-  void become_ready_to_scale() {
+  // Answers the first list call and lets the time pass in which machines of an earlier leader may
+  // report, as the first scaling round requires.
+  void pass_startup_delay() {
     answer_list({});
     clock_.run_for(settings_.heartbeat_interval_s * 1.5);
   }
@@ -121,7 +123,7 @@
   CloudReconciler reconciler_;
 };
 
-TEST_F(CloudReconcilerTest, RequestsNothingBeforeTheListAndTheEarlierMachinesAreKnown) {
+TEST_F(CloudReconcilerTest, RequestsNothingBeforeListAndEarlierMachinesAreKnown) {
   testing::add_job(cluster_, testing::spec("job-1"));
   reconciler_.run_scaling_round();
   EXPECT_TRUE(rentals().empty());
@@ -138,9 +140,9 @@
   EXPECT_EQ(rentals().size(), 1u);
 }
 
-TEST_F(CloudReconcilerTest, CountsPendingRentalsAndAddsWhatIsGranted) {
+TEST_F(CloudReconcilerTest, CountsPendingRentalsAndAddsGrantedMachines) {
   testing::add_job(cluster_, testing::spec("job-1"));
-  become_ready_to_scale();
+  pass_startup_delay();
   reconciler_.run_scaling_round();
   reconciler_.run_scaling_round();
   ASSERT_EQ(rentals().size(), 1u) << "a pending rental was requested twice";
@@ -153,10 +155,10 @@
   EXPECT_EQ(rentals().size(), 1u);
 }
 
-// Under the same name the cloud carries it out once, however often it is sent.
-TEST_F(CloudReconcilerTest, RepeatsARentalWithoutAnAnswerUnderItsName) {
+// The cloud carries out a request id only once, so an unanswered request can be retried safely.
+TEST_F(CloudReconcilerTest, RetriesAnUnansweredRentalUnderTheSameId) {
   testing::add_job(cluster_, testing::spec("job-1"));
-  become_ready_to_scale();
+  pass_startup_delay();
   reconciler_.run_scaling_round();
   ASSERT_EQ(rentals().size(), 1u);
   rentals()[0].reply(Outcome::unknown, {});
@@ -166,38 +168,38 @@
   EXPECT_NE(rentals()[0].request.body.find("\"r-7-1\""), std::string::npos);
 }
 
-TEST_F(CloudReconcilerTest, LeavesARefusedMarketAloneForAWhile) {
+TEST_F(CloudReconcilerTest, BacksOffFromARefusedMarket) {
   testing::add_job(cluster_, testing::spec("job-1"));
-  become_ready_to_scale();
+  pass_startup_delay();
   reconciler_.run_scaling_round();
   ASSERT_EQ(rentals().size(), 1u);
   const std::string refused = rentals()[0].request.body;
   rentals()[0].reply(Outcome::answered, {503, R"({"error":"no capacity"})"});
   reconciler_.run_scaling_round();
   for (size_t i = 1; i < rentals().size(); ++i) {
-    const auto wanted = protocol::Json::parse(rentals()[i].request.body);
+    const auto later = protocol::Json::parse(rentals()[i].request.body);
     const auto before = protocol::Json::parse(refused);
-    EXPECT_FALSE(wanted["breed"] == before["breed"] && wanted["yard"] == before["yard"])
-        << "the market that refused was asked again at once";
+    EXPECT_FALSE(later["breed"] == before["breed"] && later["yard"] == before["yard"])
+        << "a market that refused a request was asked again without a delay";
   }
 }
 
-TEST_F(CloudReconcilerTest, ReleasesAFailedMachineAndRemovesItWhenTheCloudAgrees) {
+TEST_F(CloudReconcilerTest, ReleasesAFailedMachineAndRemovesItWhenConfirmed) {
   answer_list({"i-1"}, "failed");
   EXPECT_EQ(tasks_lost_, std::vector<std::string>{"i-1"});
   ASSERT_EQ(releases().size(), 1u);
   EXPECT_NE(cluster_.find_machine("i-1"), nullptr);
   releases()[0].reply(Outcome::unknown, {});
   clock_.run_for(settings_.heartbeat_interval_s);
-  ASSERT_EQ(releases().size(), 2u) << "a release without an answer was not repeated";
+  ASSERT_EQ(releases().size(), 2u) << "an unanswered release was not retried";
   releases()[1].reply(Outcome::answered, {200, "{}"});
   EXPECT_EQ(cluster_.find_machine("i-1"), nullptr);
   EXPECT_TRUE(removed_.contains("i-1"));
   EXPECT_EQ(removed_names_, std::vector<std::string>{"i-1"});
 }
 
-// The cloud's list lags: a machine that it still shows has been removed all the same.
-TEST_F(CloudReconcilerTest, DoesNotBringARemovedMachineBack) {
+// The cloud's list lags, so it may still contain a machine that has been removed.
+TEST_F(CloudReconcilerTest, DoesNotAddARemovedMachineFromAStaleList) {
   answer_list({"i-1"}, "failed");
   ASSERT_EQ(releases().size(), 1u);
   releases()[0].reply(Outcome::answered, {200, "{}"});
@@ -212,14 +214,15 @@
   EXPECT_EQ(inspected_, std::vector<std::string>{"i-2"});
 }
 
-// A list may be two lags old, so a machine that was seen later than that is not yet missing.
-TEST_F(CloudReconcilerTest, RemovesAMachineOnceAListMustShowIt) {
+// A list may be two lags old, so its lack of a machine that was seen later than that proves
+// nothing.
+TEST_F(CloudReconcilerTest, RemovesAMissingMachineAfterTheListLag) {
   answer_list({"i-1"});
   clock_.run_for(settings_.list_lag_s);
   answer_list({});
   EXPECT_NE(cluster_.find_machine("i-1"), nullptr);
   clock_.run_for(2 * settings_.list_lag_s + settings_.heartbeat_interval_s);
-  answer_list({});  // it was asked for at the beginning of that time
+  answer_list({});  // answers a call that was sent at the beginning of that time
   EXPECT_NE(cluster_.find_machine("i-1"), nullptr);
   clock_.run_for(settings_.list_lag_s);
   answer_list({});
@@ -227,7 +230,7 @@
   EXPECT_EQ(removed_names_, std::vector<std::string>{"i-1"});
 }
 
-TEST_F(CloudReconcilerTest, ReleasesMachinesOnRequestOnceOnly) {
+TEST_F(CloudReconcilerTest, ReleasesRequestedMachinesOnlyOnce) {
   for (const char* name : {"i-1", "i-2", "i-3"}) testing::add_machine(cluster_, name, "small");
   reconciler_.release_machines({"i-1", "i-3", "i-9"});
   EXPECT_EQ(releases().size(), 1u);
@@ -238,9 +241,9 @@
   EXPECT_EQ(releases().size(), 1u);
 }
 
-TEST_F(CloudReconcilerTest, IgnoresAnswersOfAnEarlierTerm) {
+TEST_F(CloudReconcilerTest, IgnoresResponsesOfAnEarlierTerm) {
   testing::add_job(cluster_, testing::spec("job-1"));
-  become_ready_to_scale();
+  pass_startup_delay();
   reconciler_.run_scaling_round();
   ASSERT_EQ(rentals().size(), 1u);
   reconciler_.end_term();
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -1,4 +1,4 @@
-// Services: jobs whose replicas run until the job is cancelled.
+// Scenarios of services: jobs whose replicas run until the job is cancelled.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,14 +10,14 @@
 
 using testing::service;
 
-std::shared_ptr<FakeWorker> machine_with(const World& world, const std::string& job) {
+std::shared_ptr<FakeWorker> worker_running(const World& world, const std::string& job) {
   for (const auto& worker : world.workers) {
     if (!worker->terminated && worker->is_running(job)) return worker;
   }
   return nullptr;
 }
 
-std::vector<Seconds> starts_of(World& world, const std::string& job, std::uint32_t task) {
+std::vector<Seconds> start_times(World& world, const std::string& job, std::uint32_t task) {
   std::vector<Seconds> out;
   for (const auto& [when, started] : world.tasks.starts_of(job)) {
     if (started == task) out.push_back(when);
@@ -25,12 +25,12 @@
   return out;
 }
 
-// Whatever ends a replica, it runs again, and the job is not over until its user cancels it.
-TEST(Services, AReplicaRunsAgainWhateverEndsIt) {
+// A replica is restarted whatever ended it, and the job finishes only when its user cancels it.
+TEST(Services, RestartsAReplicaWhateverEndedIt) {
   const struct {
     const char* name;
-    std::function<void(World&)> end_one;
-    Seconds back_within;
+    std::function<void(World&)> end_replica;
+    Seconds recovery_time;
   } cases[] = {
       {"exit with success",
        [](World& world) {
@@ -42,16 +42,18 @@
          EXPECT_TRUE(world.tasks.end_task({"job-1", 0}, "error"));
        },
        4},
-      // It is missing from the list of machines, or its lease expires.
-      {"machine lost", [](World& world) { machine_with(world, "job-1")->terminate(); }, 20},
-      {"machine restarted", [](World& world) { machine_with(world, "job-1")->restart(); }, 6},
+      // Detected by the machine list or by the expiry of the lease.
+      {"machine lost", [](World& world) { worker_running(world, "job-1")->terminate(); }, 20},
+      {"machine restarted", [](World& world) { worker_running(world, "job-1")->restart(); }, 6},
       {"machine hung beyond its lease",
-       [](World& world) { machine_with(world, "job-1")->hang(20); }, 30},
-      // One of two replicas finds capacity before the end; the other only when the loss is certain.
-      {"machine reclaimed", [](World& world) { machine_with(world, "job-1")->reclaim_in(6); }, 25},
+       [](World& world) { worker_running(world, "job-1")->hang(20); }, 30},
+      // One of its two replicas is migrated before the end; the other restarts only once the
+      // machine is known to be lost.
+      {"machine reclaimed", [](World& world) { worker_running(world, "job-1")->reclaim_in(6); },
+       25},
       {"leader and machine lost",
        [](World& world) {
-         machine_with(world, "job-1")->terminate();
+         worker_running(world, "job-1")->terminate();
          world.crash(world.leader(), 4);
        },
        35},
@@ -62,8 +64,8 @@
     world.users.submit(service("job-1", 3, 2), 2);
     world.run(40);
     ASSERT_EQ(world.tasks.running_tasks("job-1"), 3u);
-    test_case.end_one(world);
-    world.run(40 + test_case.back_within);
+    test_case.end_replica(world);
+    world.run(40 + test_case.recovery_time);
     EXPECT_EQ(world.tasks.running_tasks("job-1"), 3u);
     world.run(120);
     EXPECT_EQ(world.tasks.running_tasks("job-1"), 3u);
@@ -76,9 +78,9 @@
   }
 }
 
-// A replica that ends time after time starts less and less often. The others of its job run on, and
-// no machine is quarantined for it.
-TEST(Services, AReplicaThatKeepsEndingIsBackedOffAlone) {
+// A replica that ends repeatedly is restarted with backoff. The job's other replicas keep running,
+// and no machine is quarantined because of it.
+TEST(Services, BacksOffOnlyTheReplicaThatKeepsEnding) {
   for (const char* cause : {"done", "error"}) {
     SCOPED_TRACE(cause);
     World world(1, {});
@@ -91,12 +93,12 @@
       });
     }
     world.run(160);
-    const auto starts = starts_of(world, "job-1", 0);
+    const auto starts = start_times(world, "job-1", 0);
     EXPECT_GE(starts.size(), 5u);
     EXPECT_LE(starts.size(), 12u);
-    EXPECT_EQ(starts_of(world, "job-1", 1).size(), 1u);
-    EXPECT_EQ(starts_of(world, "job-1", 2).size(), 1u);
-    // Once it ends no more it is back within the longest backoff, of 16 heartbeat intervals.
+    EXPECT_EQ(start_times(world, "job-1", 1).size(), 1u);
+    EXPECT_EQ(start_times(world, "job-1", 2).size(), 1u);
+    // When it stops ending, it runs again within the maximum backoff of 16 heartbeat intervals.
     world.run(160 + 16 * world.settings.heartbeat_interval_s + 5);
     EXPECT_EQ(world.tasks.running_tasks("job-1"), 3u);
     EXPECT_EQ(world.terminated_machines(), 0u);
@@ -104,8 +106,8 @@
   }
 }
 
-// A machine that fails every task it starts is found by the replicas that fail there and run
-// elsewhere.
+// A machine that fails every task is detected by replicas that fail on it and run on other
+// machines.
 TEST(Services, AFaultyMachineDoesNotKeepAReplicaDown) {
   World world(1, {});
   world.cloud.capacity = 3;
@@ -126,9 +128,9 @@
   expect_no_violations(world);
 }
 
-// A machine that is to be reclaimed keeps its replica until there is capacity for it on another
-// one; when there is, the replica has left before the end.
-TEST(Services, AReplicaLeavesAMachineOnlyForCapacityOnAnother) {
+// A replica on a machine with a reclaim notice keeps running there until another machine has
+// capacity for it. If one has, the replica is migrated before the machine is reclaimed.
+TEST(Services, MigratesAReplicaOnlyWhenAnotherMachineHasCapacity) {
   for (const bool capacity : {true, false}) {
     SCOPED_TRACE(capacity ? "capacity on another machine" : "no capacity on another machine");
     World world(1, {});
@@ -145,7 +147,7 @@
     world.run(20);
     ASSERT_EQ(world.tasks.running_tasks("job-1"), 1u);
     ASSERT_EQ(world.tasks.running_tasks("job-2"), capacity ? 0u : 1u);
-    const auto reclaimed = machine_with(world, "job-1");
+    const auto reclaimed = worker_running(world, "job-1");
     reclaimed->reclaim_in(8);
     world.run(27);
     EXPECT_EQ(reclaimed->is_running("job-1"), !capacity);
@@ -155,8 +157,8 @@
   }
 }
 
-// No machine with a replica is released to the cloud, however little it runs.
-TEST(Services, AMachineWithAReplicaIsNotReleased) {
+// A machine that runs a replica is not released, however low its utilisation.
+TEST(Services, DoesNotReleaseAMachineThatRunsAReplica) {
   World world(1, {});
   world.users.submit(service("job-1", 2, 1), 2);
   world.users.submit(testing::spec("job-2", 6, 4), 2);
@@ -169,7 +171,8 @@
   expect_no_violations(world);
 }
 
-// Services beside other work, with faults; cancelled while replicas are being replaced or moved.
+// Services beside random jobs, under faults; cancelled while replicas are being restarted or
+// migrated.
 void submit_services(World& world) {
   for (int k = 0; k < 8; ++k) {
     JobSpec spec = service("job-" + std::to_string(10 + k), 2 + k % 4, 1);
@@ -245,7 +248,7 @@
 
 class ServiceScenario : public ::testing::TestWithParam<Scenario> {};
 
-TEST_P(ServiceScenario, KeepsTheRulesAndEndsWhenCancelled) {
+TEST_P(ServiceScenario, UpholdsInvariantsAndEndsWhenCancelled) {
   for (const std::uint64_t seed : {1, 2, 3}) run_and_verify(GetParam(), seed);
 }
 
