--- a/src/coordination/scaling/fleet_usage.cpp
+++ b/src/coordination/scaling/fleet_usage.cpp
@@ -48,7 +48,7 @@
 }
 
 std::map<std::string, QueueDepth> queue_depth_by_class(const ClusterState& cluster) {
-  std::map<std::string, WaitingWork> by_class;
+  std::map<std::string, QueueDepth> by_class;
   for (const auto& [id, job] : cluster.jobs()) {
     if (job->waiting() == 0) continue;
     QueueDepth& depth = by_class[job->spec.job_class];
