--- a/src/coordination/scheduling/capacity_timeline.cpp
+++ b/src/coordination/scheduling/capacity_timeline.cpp
@@ -5,8 +5,8 @@
 namespace larkroad::coordination {
 namespace {
 
-// No task is taken to run for less than this, so that rates stay finite.
-constexpr transport::Seconds kLeastRunTime = 1e-3;
+// Lower limit of run times, which keeps the rates finite.
+constexpr transport::Seconds kMinRunTime = 1e-3;
 
 }  // namespace
 
@@ -14,7 +14,7 @@
 
 CapacityTimeline::Release CapacityTimeline::release_of(double share, Seconds remaining,
                                                        Seconds run_time) {
-  return {remaining, share, share / std::max(run_time, kLeastRunTime)};
+  return {remaining, share, share / std::max(run_time, kMinRunTime)};
 }
 
 void CapacityTimeline::add(double share, Seconds remaining, Seconds run_time) {
@@ -28,12 +28,12 @@
             [](const Release& a, const Release& b) { return a.remaining < b.remaining; });
   double share = 0;
   double rate = 0;
-  double not_yet = 0;
+  double rate_offset = 0;
   for (const Release& release : releases_) {
     share += release.share;
     rate += release.rate;
-    not_yet += release.rate * release.remaining;
-    sums_.push_back({share, rate, not_yet});
+    rate_offset += release.rate * release.remaining;
+    sums_.push_back({share, rate, rate_offset});
   }
 }
 
@@ -43,7 +43,7 @@
       [](Seconds limit, const Release& release) { return limit < release.remaining; });
   if (next == releases_.begin()) return 0;
   const Sum& sum = sums_[static_cast<size_t>(next - releases_.begin()) - 1];
-  return sum.share + sum.rate * time - sum.not_yet;
+  return sum.share + sum.rate * time - sum.rate_offset;
 }
 
 }  // namespace larkroad::coordination
--- a/src/coordination/scheduling/capacity_timeline.hpp
+++ b/src/coordination/scheduling/capacity_timeline.hpp
@@ -1,4 +1,4 @@
-/// When capacity that tasks share becomes free.
+/// Estimates when capacity shared by many tasks becomes free.
 #pragma once
 
 #include <vector>
@@ -7,33 +7,35 @@
 
 namespace larkroad::coordination {
 
-/// Estimates how much work can be started on a shared capacity, such as the fleet or a team's
-/// limit, within a time: at once what nobody uses, the rest as its tasks end, and all of it again
-/// whenever what is started then has run. Amounts are parts of the whole capacity.
+/// Estimates how much work can be started within a given time on a shared capacity, such as the
+/// fleet or a team's limit. Unused capacity can be used immediately, the rest as its tasks end, and
+/// all of it again each time the work started on it has run. Amounts are fractions of the whole
+/// capacity.
 ///
-/// Filled by `add`, closed by `finish`, then asked by `startable_within`.
+/// Filled with `add`, completed with `finish`, then queried with `startable_within`.
 class CapacityTimeline {
  public:
-  /// Tasks that use `share` of the capacity for another `remaining` seconds; tasks like them run
-  /// for `run_time`.
+  /// Adds tasks that use `share` of the capacity for another `remaining` seconds and have a run
+  /// time of `run_time`.
   void add(double share, transport::Seconds remaining, transport::Seconds run_time);
-  /// To be called once, when all tasks are known. `run_time`: of what may use the free capacity.
+  /// Must be called once, after the last `add`. `run_time`: of the tasks that will use the capacity
+  /// that is free now.
   void finish(transport::Seconds run_time);
-  /// How much can be started within `time` from now.
+  /// How much work can be started within `time` from now.
   double startable_within(transport::Seconds time) const;
 
  private:
-  /// Capacity that becomes free at some time, and again and again from then on.
+  /// Capacity that becomes free at some time and once per run time from then on.
   struct Release {
     transport::Seconds remaining;
     double share;
-    double rate;  ///< what it frees on average, by the second, from then on
+    double rate;  ///< average capacity freed per second from then on
   };
   /// The sums over a release and all earlier ones.
   struct Sum {
     double share;
     double rate;
-    double not_yet;  ///< what the rates would have freed before their releases
+    double rate_offset;  ///< what the rates would have freed before their releases
   };
   static Release release_of(double share, transport::Seconds remaining,
                             transport::Seconds run_time);
--- a/src/coordination/scheduling/cycle_view.cpp
+++ b/src/coordination/scheduling/cycle_view.cpp
@@ -9,18 +9,19 @@
 namespace larkroad::coordination {
 namespace {
 
-// The part of all room for a class that may be reserved for tasks of it that may arrive.
-constexpr double kReserveMost = 0.5;
-// A machine that has sent no heartbeat for this part of its lease gets no more work, though it may
-// answer calls: answers renew no lease, so all that it runs may end soon.
-constexpr double kHeartbeatPatience = 1.0 / 2;
+// The largest fraction of the capacity usable by a class that may be reserved for its expected
+// arrivals.
+constexpr double kMaxReserveRatio = 0.5;
+// A machine that has sent no heartbeat for this fraction of its lease gets no new tasks, even if it
+// answers calls: answers do not renew the lease, so its tasks may end soon.
+constexpr double kMaxHeartbeatAgeLeases = 1.0 / 2;
 
 }  // namespace
 
-void take_room(Resources& room, const Resources& each, double count) {
-  room.cpus -= each.cpus * count;
-  room.gpus -= each.gpus * count;
-  room.memory_gb -= each.memory_gb * count;
+void subtract_needs(Resources& available, const Resources& each, double count) {
+  available.cpus -= each.cpus * count;
+  available.gpus -= each.gpus * count;
+  available.memory_gb -= each.memory_gb * count;
 }
 
 CycleView::CycleView(ClusterState& cluster, const GangReservations& reservations, Seconds now)
@@ -30,7 +31,7 @@
   add_gpu_needs();
   for (const auto& [job, reservation] : reservations.all()) {
     for (const auto& [name, count] : reservation.tasks) {
-      if (MachineView* view = find(name)) take_room(view->room, reservation.each, count);
+      if (MachineView* view = find(name)) subtract_needs(view->available, reservation.each, count);
     }
   }
   add_reserves();
@@ -39,10 +40,10 @@
 void CycleView::add_machines() {
   machines_.reserve(cluster_.machines().size());
   std::map<std::tuple<const MachineType*, std::string, bool>, size_t> pool_of;
-  const Seconds patience = cluster_.settings().lease_s * kHeartbeatPatience;
+  const Seconds max_heartbeat_age = cluster_.settings().lease_s * kMaxHeartbeatAgeLeases;
   for (auto& [name, machine] : cluster_.machines()) {
     const MachineType* type = cluster_.type(machine.type);
-    if (type == nullptr || !machine.usable(now_, patience)) continue;
+    if (type == nullptr || !machine.usable(now_, max_heartbeat_age)) continue;
     const auto [at, added] = pool_of.try_emplace({type, machine.zone, machine.spot}, pools_.size());
     if (added) pools_.push_back({type, machine.zone, machine.spot, {}, {}});
     machines_.push_back({&machine, at->second, machine.room(), {}, {}});
@@ -55,7 +56,7 @@
   for (MachineView& view : machines_) {
     MachinePool& pool = pools_[view.pool];
     pool.machines.push_back(&view);
-    if (smallest && view.room.fits(*smallest)) pool.open.push_back(&view);
+    if (smallest && view.available.fits(*smallest)) pool.open.push_back(&view);
     by_name_[view.machine->name] = &view;
   }
 }
@@ -77,11 +78,11 @@
     double fits_when_empty = 0;
     for (const MachineView& view : machines_) {
       if (!reserve.allowed[view.pool]) continue;
-      reserve.fits += view.room.times(need);
+      reserve.fits += view.available.times(need);
       fits_when_empty += view.machine->capacity.times(need);
     }
-    // However much may arrive, the less important work keeps its part of the machines.
-    reserve.missing = std::min(reserve.missing, fits_when_empty * kReserveMost);
+    // Lower-priority jobs keep a share of the machines however much is expected to arrive.
+    reserve.missing = std::min(reserve.missing, fits_when_empty * kMaxReserveRatio);
     for (const auto& [team, wanted] : expected.wanted_by_team) {
       const auto found = expected.current_by_team.find(team);
       const double current = found == expected.current_by_team.end() ? 0 : found->second;
@@ -123,22 +124,22 @@
 }
 
 void CycleView::take_quota(const Job& job, double tasks) {
-  take_room(taken_quota_[job.spec.team], needs_of(job.spec), -tasks);
+  subtract_needs(taken_quota_[job.spec.team], needs_of(job.spec), -tasks);
 }
 
 void CycleView::take(const Job& job, MachineView& view) {
   for (ClassReserve& reserve : reserves_) {
     if (reserve.allowed[view.pool]) reserve.fits -= lost_fits(reserve, job, view);
   }
-  view.room -= needs_of(job.spec);
+  view.available -= needs_of(job.spec);
   if (view.fetching && !view.machine->images.contains(job.spec.image)) {
     (*view.fetching)[job.spec.image] = job.spec.image_gb;
   }
 }
 
 void CycleView::release(const Job& job, MachineView& view) {
-  view.room += needs_of(job.spec);
-  view.fetching.reset();  // looked up again when it matters
+  view.available += needs_of(job.spec);
+  view.fetching.reset();  // looked up again when needed
   for (ClassReserve& reserve : reserves_) {
     if (reserve.allowed[view.pool]) reserve.fits += lost_fits(reserve, job, view);
   }
@@ -147,7 +148,7 @@
 void CycleView::free_reserved(const GangReservations::Reservation& reservation) {
   for (const auto& [name, count] : reservation.tasks) {
     if (MachineView* view = find(name)) {
-      take_room(view->room, reservation.each, -static_cast<double>(count));
+      subtract_needs(view->available, reservation.each, -static_cast<double>(count));
     }
   }
 }
@@ -167,12 +168,13 @@
 double CycleView::blocked_gpus(const Job& job, const MachineView& view) const {
   const Resources& capacity = view.machine->capacity;
   if (job.spec.gpus > 0 || capacity.gpus <= 0) return 0;
-  Resources rest = view.room;
+  Resources rest = view.available;
   rest -= needs_of(job.spec);
   double out = 0;
   for (const GpuNeed& gpu : gpu_needs_) {
     if (!gpu.allowed[view.pool]) continue;
-    const double blocked = static_cast<double>(view.room.times(gpu.need)) - rest.times(gpu.need);
+    const double blocked =
+        static_cast<double>(view.available.times(gpu.need)) - rest.times(gpu.need);
     out = std::max(out, blocked * gpu.need.gpus / capacity.gpus);
   }
   return out;
@@ -200,9 +202,9 @@
 
 double CycleView::lost_fits(const ClassReserve& reserve, const Job& job, const MachineView& view) {
   const Resources need = needs_of(*reserve.spec);
-  Resources rest = view.room;
+  Resources rest = view.available;
   rest -= needs_of(job.spec);
-  return static_cast<double>(view.room.times(need)) - rest.times(need);
+  return static_cast<double>(view.available.times(need)) - rest.times(need);
 }
 
 }  // namespace larkroad::coordination
--- a/src/coordination/scheduling/due_time_ranking.cpp
+++ b/src/coordination/scheduling/due_time_ranking.cpp
@@ -8,12 +8,12 @@
 namespace larkroad::coordination {
 namespace {
 
-// The rank of a job that can meet none of its due times any more.
+// The rank of a job that can no longer meet any of its due times.
 constexpr int kLateRank = 1000;
-// Sums of shares are compared with this much leeway.
-constexpr double kRounding = 1e-9;
+// The tolerance for rounding errors when sums of shares are compared.
+constexpr double kShareTolerance = 1e-9;
 
-// The jobs selected so far, by how much they take of the fleet and of their team's limit.
+// The jobs selected so far, ordered by how much they take of the fleet and of their team's limit.
 class SelectedJobs {
  public:
   void insert(QueueEntry* entry) {
@@ -40,19 +40,19 @@
   std::map<std::string, std::set<Key>> by_quota_share_;
 };
 
-void promise(const QueueEntry& entry, SharedCapacity& capacity) {
-  capacity.fleet_promised += entry.fleet_share;
-  capacity.quota_promised[entry.job->spec.team] += entry.quota_share;
+void allocate(const QueueEntry& entry, SharedCapacity& capacity) {
+  capacity.fleet_allocated += entry.fleet_share;
+  capacity.quota_allocated[entry.job->spec.team] += entry.quota_share;
 }
 
-void withdraw_promise(const QueueEntry& entry, SharedCapacity& capacity) {
-  capacity.fleet_promised -= entry.fleet_share;
-  capacity.quota_promised[entry.job->spec.team] -= entry.quota_share;
+void deallocate(const QueueEntry& entry, SharedCapacity& capacity) {
+  capacity.fleet_allocated -= entry.fleet_share;
+  capacity.quota_allocated[entry.job->spec.team] -= entry.quota_share;
 }
 
-// Selects as many of the jobs as can start by their times, by the Moore-Hodgson algorithm: in order
-// of those times, and whenever one would be late, the largest selected so far is given up. Selected
-// jobs get the rank; returned are those given up.
+// Selects as many jobs as can start in time, by the Moore-Hodgson algorithm: jobs are added in
+// order of their latest start times, and whenever one would be late, the largest job selected so
+// far is rejected. Selected jobs get the rank; the rejected ones are returned.
 std::vector<QueueEntry*> select_on_time(std::vector<QueueEntry*>& entries, Seconds now, int rank,
                                         SharedCapacity& capacity) {
   std::sort(entries.begin(), entries.end(), [](const QueueEntry* a, const QueueEntry* b) {
@@ -60,32 +60,33 @@
     const Seconds b_start = b->start_by();
     return a_start != b_start ? a_start < b_start : a->job->id() < b->job->id();
   });
-  std::vector<QueueEntry*> given_up;
+  std::vector<QueueEntry*> rejected;
   SelectedJobs selected;
   for (QueueEntry* entry : entries) {
     const std::string& team = entry->job->spec.team;
     selected.insert(entry);
-    promise(*entry, capacity);
+    allocate(*entry, capacity);
     const Seconds time = entry->start_by() - now;
-    const bool exceeds_quota =
-        capacity.quota_promised[team] > capacity.quotas[team].startable_within(time) + kRounding;
+    const bool exceeds_quota = capacity.quota_allocated[team] >
+                               capacity.quotas[team].startable_within(time) + kShareTolerance;
     const bool exceeds_fleet =
-        capacity.fleet_promised > capacity.fleet.startable_within(time) + kRounding;
+        capacity.fleet_allocated > capacity.fleet.startable_within(time) + kShareTolerance;
     if (!exceeds_quota && !exceeds_fleet) continue;
-    // Where the team's limit is short, only its own jobs can make way.
+    // When the team's limit is exceeded, only rejecting one of the team's own jobs helps.
     QueueEntry* largest = exceeds_quota ? selected.largest_of(team) : selected.largest();
-    withdraw_promise(*largest, capacity);
-    given_up.push_back(largest);
+    deallocate(*largest, capacity);
+    rejected.push_back(largest);
     selected.erase(largest);
   }
   selected.for_each([rank](QueueEntry* entry) {
     entry->rank = rank;
     entry->sort_time = entry->due_times[entry->due_index];
   });
-  return given_up;
+  return rejected;
 }
 
-// Late whatever is done: the least work first, so that the fewest wait.
+// Jobs that will be late in any case are ordered by least work, which keeps the number of waiting
+// jobs small.
 void rank_as_late(QueueEntry& entry) {
   entry.rank = kLateRank;
   entry.sort_time = entry.fleet_share * entry.run_time;
@@ -105,7 +106,7 @@
       }
     }
     entries = select_on_time(on_time, now, rank, capacity);
-    // What is given up is to meet its next due time.
+    // Rejected jobs are tried again with their next due time.
     for (QueueEntry* entry : entries) ++entry->due_index;
   }
 }
--- a/src/coordination/scheduling/due_times.cpp
+++ b/src/coordination/scheduling/due_times.cpp
@@ -5,7 +5,7 @@
 namespace larkroad::coordination {
 namespace {
 
-// When the objective wants the job done; none when it is not for this job.
+// The time by which the objective requires the job to be done; none when it does not apply.
 std::optional<Seconds> due_time(const ClusterState& cluster, const Job& job,
                                 const Objective& objective) {
   if (!objective.job_class.empty() && objective.job_class != job.spec.job_class) {
--- a/src/coordination/scheduling/fleet_capacity.cpp
+++ b/src/coordination/scheduling/fleet_capacity.cpp
@@ -7,8 +7,8 @@
 namespace larkroad::coordination {
 namespace {
 
-// More important work of a team is taken to leave the rest at least this part of its capacity.
-constexpr double kLeastShareLeft = 0.1;
+// Higher-priority jobs are assumed to leave at least this fraction of the capacity to the others.
+constexpr double kMinShareLeft = 0.1;
 
 }  // namespace
 
@@ -30,8 +30,8 @@
   }
 }
 
-// Counted by whole tasks on whole machines: what a machine has in plenty is of no use where another
-// resource is short.
+// Counts whole tasks on whole machines, as a surplus of one resource cannot make up for a shortage
+// of another.
 double FleetCapacity::slots(const JobSpec& spec) const {
   const Resources need = needs_of(spec);
   double all = 0;
@@ -39,14 +39,14 @@
   for (const Pool& pool : pools_) {
     if (!allows(spec, *pool.type, pool.zone, pool.spot)) continue;
     const double when_empty = pool.machines * capacity_of(*pool.type).times(need);
-    Resources room = pool.capacity;
+    Resources available = pool.capacity;
     for (size_t priority = 0; priority < static_cast<size_t>(spec.priority); ++priority) {
-      room -= pool.used[priority];
+      available -= pool.used[priority];
     }
     all += when_empty;
-    left += std::min<double>(when_empty, room.times(need));
+    left += std::min<double>(when_empty, available.times(need));
   }
-  return std::max(left, all * kLeastShareLeft);
+  return std::max(left, all * kMinShareLeft);
 }
 
 double FleetCapacity::fleet_share(const JobSpec& spec) const {
--- a/src/coordination/scheduling/fleet_capacity.hpp
+++ b/src/coordination/scheduling/fleet_capacity.hpp
@@ -1,4 +1,4 @@
-/// How many tasks of a kind the fleet can run at once, as the work queue reckons with it.
+/// Estimates how many tasks of a job the fleet can run at once, for ordering the work queue.
 #pragma once
 
 #include <string>
@@ -8,17 +8,17 @@
 
 namespace larkroad::coordination {
 
-/// The capacity of all machines that can be reckoned with, in pools of like machines. A snapshot:
-/// made for one ordering of the queue from a cluster that must outlive it.
+/// The capacity of all usable machines, grouped into pools of identical machines. A snapshot taken
+/// for one ordering of the queue; the cluster must outlive it.
 class FleetCapacity {
  public:
   explicit FleetCapacity(const ClusterState& cluster);
 
   /// Whether any machine is known.
   bool known() const { return !pools_.empty(); }
-  /// The part of the fleet that one task takes, beside more important work; 0 to 1.
+  /// The fraction that one task takes of the fleet capacity left by higher-priority jobs; 0 to 1.
   double fleet_share(const JobSpec& spec) const;
-  /// The part of its team's limit that one task takes; 0 to 1.
+  /// The fraction that one task takes of its team's limit; 0 to 1.
   double quota_share(const JobSpec& spec) const;
 
  private:
@@ -31,7 +31,7 @@
     Resources capacity;
     ResourcesByPriority used{};
   };
-  /// How many such tasks fit beside more important work.
+  /// How many such tasks fit beside those of higher-priority jobs.
   double slots(const JobSpec& spec) const;
 
   const ClusterState& cluster_;
--- a/src/coordination/scheduling/forecast.cpp
+++ b/src/coordination/scheduling/forecast.cpp
@@ -7,17 +7,19 @@
 namespace larkroad::coordination {
 namespace {
 
-// No objective is forecast to be missed more rarely than this.
-constexpr double kLeastMissChance = 1e-3;
+// Lower limit of the miss probability used in forecasts.
+constexpr double kMinMissProbability = 1e-3;
 
-// The number that a Poisson-like count with this mean and variance exceeds with chance `miss`.
-double quantile(double mean, double variance, double miss) {
-  // An upper bound of the normal quantile: generous, and without a table.
-  return mean + std::sqrt(2 * std::log(1 / std::max(miss, kLeastMissChance)) * variance);
+// The number that a Poisson-like count with this mean and variance exceeds with probability
+// `miss_probability`.
+double quantile(double mean, double variance, double miss_probability) {
+  // An upper bound of the normal quantile, which needs no table.
+  return mean +
+         std::sqrt(2 * std::log(1 / std::max(miss_probability, kMinMissProbability)) * variance);
 }
 
-// The largest share of tasks for which an objective of the class asks for a start in less time than
-// a new machine needs; 0: no objective does.
+// The largest share of tasks that some objective of the class requires to start faster than a new
+// machine can; 0: no objective does.
 double share_without_boot_time(const ClusterState& cluster, const std::string& job_class,
                                Seconds new_machine_start) {
   double share = 0;
@@ -30,17 +32,18 @@
   return share;
 }
 
-// The time over which arrivals add up to the capacity that the class needs. Where tasks end by
-// themselves, those there on average free what the next ones need. Replicas stay, so capacity is
-// needed for those that arrive while another machine boots.
+// The time over which arrivals accumulate into the demand of the class. Tasks that end by
+// themselves free their capacity after their run time. Replicas stay, so capacity is needed for
+// those that arrive while another machine boots.
 Seconds occupancy_time(const ClusterState& cluster, const ClassStatistics& statistics,
                        Seconds new_machine_start) {
   if (statistics.latest.is_service()) return new_machine_start;
   return statistics.mean_run_time.value_or(cluster.expected_run(statistics.latest));
 }
 
-// The most replicas of the class on one machine: what its loss would ask for at once.
-double most_on_one_machine(const ClusterState& cluster, const std::string& job_class) {
+// The largest number of replicas of the class on one machine, which would have to be restarted
+// together if that machine were lost.
+double max_replicas_on_one_machine(const ClusterState& cluster, const std::string& job_class) {
   std::map<std::string, double> by_machine;
   double most = 0;
   for (const auto& [id, job] : cluster.jobs()) {
@@ -77,14 +80,14 @@
   out.spec = &spec;
   const double mean = cluster.arrival_rate(statistics, now) *
                       occupancy_time(cluster, statistics, *new_machine_start);
-  // Tasks of one job arrive together, which raises the variance of how many are there.
+  // Tasks of one job arrive together, which raises the variance of the count.
   const double mean_batch = statistics.weighted_squares / statistics.weighted_tasks;
   out.wanted = quantile(mean, mean * mean_batch, 1 - share);
   for (const auto& [team, tasks] : statistics.weighted_tasks_by_team) {
     const double team_mean = mean * tasks / statistics.weighted_tasks;
     out.wanted_by_team[team] = quantile(team_mean, team_mean * mean_batch, 1 - share);
   }
-  if (spec.is_service()) out.wanted += most_on_one_machine(cluster, name);
+  if (spec.is_service()) out.wanted += max_replicas_on_one_machine(cluster, name);
   add_current(cluster, name, out);
   return out;
 }
--- a/src/coordination/scheduling/forecast.hpp
+++ b/src/coordination/scheduling/forecast.hpp
@@ -1,8 +1,8 @@
-/// Forecast of demand, by class of jobs: how many tasks are to find free capacity at once, so that
-/// the objectives (SLOs) that leave no time to boot a machine are met as often as they ask.
+/// Demand forecast by job class: for how many tasks capacity must be available immediately, so that
+/// objectives (SLOs) that leave no time to boot a machine are met at their target rate.
 ///
-/// Used by the scheduling cycle, which reserves capacity for these tasks, and by the autoscaler,
-/// which requests it. A pure function of the cluster's state and the time.
+/// The scheduling cycle reserves capacity for these tasks and the autoscaler requests it. A pure
+/// function of the cluster's state and the time.
 #pragma once
 
 #include <map>
@@ -16,17 +16,17 @@
 /// The demand of one class, in tasks.
 struct Forecast {
   const JobSpec* spec = nullptr;  ///< of the latest job of the class; never null
-  double wanted = 0;              ///< tasks that are to find capacity at once
-  double current = 0;             ///< of these, so many are waiting or placed
+  double wanted = 0;              ///< tasks that must be able to start immediately
+  double current = 0;             ///< how many of them are waiting or placed already
   std::map<std::string, double> wanted_by_team;
   std::map<std::string, double> current_by_team;
 
-  /// Tasks that may still arrive and for which capacity is to be free.
+  /// Expected arrivals for which capacity must be kept free.
   double missing() const { return wanted > current ? wanted - current : 0; }
 };
 
-/// Forecasts for the classes that have such objectives, by the names of the classes. The result
-/// points into the cluster's class statistics.
+/// Forecasts for the classes that have such objectives, ordered by class name. The result points
+/// into the cluster's class statistics.
 std::vector<Forecast> forecast(const ClusterState& cluster, Seconds now);
 
 }  // namespace larkroad::coordination
--- a/src/coordination/scheduling/job_queue.cpp
+++ b/src/coordination/scheduling/job_queue.cpp
@@ -16,24 +16,24 @@
 namespace larkroad::coordination {
 namespace {
 
-// The remaining times of a job's tasks are distinguished in steps of this part of its run.
+// The number of steps into which a job's run time is divided when remaining times are grouped.
 constexpr size_t kRemainingSteps = 16;
-// A task that has run for longer than expected is taken to run for this part of its run time more.
-constexpr double kLeastRemainingRatio = 1.0 / 4;
+// A task that exceeds its expected run time is assumed to run for this fraction of it longer.
+constexpr double kMinRemainingRatio = 1.0 / 4;
 
-// The times of a job's tasks.
+// The expected times of a job's tasks.
 struct TaskTimes {
-  Seconds running;   // expected, from the start of the task on
-  Seconds occupied;  // the same and the fetch of the image: a machine's capacity is taken from then
+  Seconds running;   // from the start of the task
+  Seconds occupied;  // the same plus the image fetch, during which capacity is already in use
 };
 
 Seconds remaining_time(const Placement& placement, Seconds now, const TaskTimes& times) {
   if (placement.running_since < 0) return times.occupied;
   return std::max(times.running - (now - placement.running_since),
-                  times.running * kLeastRemainingRatio);
+                  times.running * kMinRemainingRatio);
 }
 
-// Orders the waiting jobs of a cluster, once.
+// Computes one ordering of a cluster's waiting jobs.
 class QueueOrdering {
  public:
   QueueOrdering(ClusterState& cluster, Seconds now, Seconds start_bound)
@@ -51,13 +51,13 @@
   }
 
  private:
-  // Run times of the waiting tasks of a priority.
+  // Run times of the waiting tasks of one priority.
   struct RunTimes {
     Seconds sum = 0;
     double tasks = 0;
     Seconds mean() const { return tasks > 0 ? sum / tasks : 0; }
   };
-  // What comes first: priority, teams with a guarantee, rank, within the guarantee, time.
+  // Priority, whether the team has no guarantee, rank, whether beyond the guarantee, time.
   using OrderKey = std::tuple<protocol::Priority, bool, int, bool, Seconds>;
 
   void add_job(Job& job) {
@@ -67,7 +67,7 @@
     const Seconds start =
         shortest_start_time(cluster_.types(), job.spec, StartsOn::running_machine).value_or(0);
     const TaskTimes times{running, running + start};
-    // Before any machine is known the team's limit alone counts.
+    // Before any machine is known, only the team's limit counts.
     const double quota_share = fleet_.quota_share(job.spec);
     const double fleet_share = fleet_.known() ? fleet_.fleet_share(job.spec) : quota_share;
     add_live_tasks(job, times, fleet_share, quota_share);
@@ -85,13 +85,13 @@
     entry.aging = aging_of(cluster_, job, now_, start_bound_);
     entry.sort_time = job.submitted;
     entries_.push_back(std::move(entry));
-    // The team's timeline is there though nothing of it runs.
+    // Creates the team's timeline even when the team has no live task.
     shared_[job.spec.priority].quotas[job.spec.team];
   }
 
-  // Adds the job's live tasks to the capacity that they take. Tasks that end at about the same time
-  // are added together: a cycle's cost then goes by jobs, not by the thousands of tasks of a large
-  // array.
+  // Adds the job's live tasks to the timelines of the capacity that they use. Tasks that end at
+  // about the same time are added together, so that the cost of a cycle grows with the number of
+  // jobs, not with the thousands of tasks of a large array.
   void add_live_tasks(const Job& job, const TaskTimes& times, double fleet_share,
                       double quota_share) {
     if (job.placements.empty()) return;
@@ -108,7 +108,7 @@
       if (tasks <= 0) continue;
       const Seconds remaining = times.occupied * static_cast<double>(step) / kRemainingSteps;
       shared_[job.spec.priority].fleet.add(fleet_share * tasks, remaining, times.occupied);
-      // A team's limit is shared with its more important work.
+      // A task counts against its team's limit for its own priority and all lower ones.
       for (auto priority = static_cast<size_t>(job.spec.priority); priority < kPriorities;
            ++priority) {
         CapacityTimeline& quota =
--- a/src/coordination/scheduling/job_queue.hpp
+++ b/src/coordination/scheduling/job_queue.hpp
@@ -1,7 +1,7 @@
 /// The work queue: the order in which waiting jobs are scheduled.
 ///
-/// Used by the scheduling cycle, which places jobs in this order, and by the autoscaler, which
-/// requests machines in it, so that both serve the same jobs first.
+/// The scheduling cycle places jobs in this order and the autoscaler requests machines in the same
+/// order, so that both serve the same jobs first.
 #pragma once
 
 #include <optional>
@@ -14,8 +14,8 @@
 
 namespace larkroad::coordination {
 
-/// The smallest amount of each resource, by itself, that any waiting task or migrating replica
-/// needs: a machine with less room than this is full. None when nothing waits.
+/// The smallest amount of each resource, taken separately, that any waiting task or migrating
+/// replica needs: a machine with less than this available is full. None when no task waits.
 std::optional<Resources> smallest_waiting_need(const ClusterState& cluster);
 
 /// The jobs with waiting tasks, most important first:
@@ -23,9 +23,9 @@
 ///  2. teams with a guarantee before those without one;
 ///  3. jobs that can still meet a due time, then those without one, then those that are late;
 ///  4. jobs within their team's guarantee before those beyond it;
-///  5. by due time or, without one, by submission.
+///  5. by due time or, without one, by submission time.
 ///
-/// Of the jobs that cannot all meet their due times, the largest are given up first.
+/// When not all jobs can meet their due times, the largest are deferred first.
 std::vector<Job*> order_jobs(ClusterState& cluster, Seconds now, Seconds start_bound);
 
 }  // namespace larkroad::coordination
--- a/src/coordination/scheduling/machine_offers.hpp
+++ b/src/coordination/scheduling/machine_offers.hpp
@@ -1,4 +1,4 @@
-/// Offers of machines for tasks, the cheapest first.
+/// A priority queue of machines that can take a task, cheapest first.
 #pragma once
 
 #include <algorithm>
@@ -10,15 +10,15 @@
 
 namespace larkroad::coordination {
 
-/// One more task on a machine, and what that costs, in seconds.
+/// A machine that can take one more task, and what placing it there costs, in seconds.
 struct MachineOffer {
   double cost = 0;
   MachineView* machine = nullptr;
 };
 
-/// A heap of offers. As tasks are placed, machines become more expensive or impossible, so the
-/// caller computes the cost anew when an offer comes up, and puts it back when it is no longer the
-/// cheapest. Offers of the same cost go by the machines' names, so that the order is the same in
+/// A heap of offers. As tasks are placed, machines become more expensive or full, so the caller
+/// recomputes the cost of an offer when it is popped and adds it again if it is no longer the
+/// cheapest. Offers of equal cost are ordered by machine name, so that the order is the same in
 /// every run.
 class MachineOffers {
  public:
@@ -27,7 +27,7 @@
     std::push_heap(offers_.begin(), offers_.end(), after);
   }
   bool empty() const { return offers_.empty(); }
-  /// Removes and returns the cheapest offer. There must be one.
+  /// Removes and returns the cheapest offer. Must not be empty.
   MachineOffer pop_cheapest() {
     std::pop_heap(offers_.begin(), offers_.end(), after);
     const MachineOffer out = offers_.back();
--- a/src/coordination/scheduling/placement.cpp
+++ b/src/coordination/scheduling/placement.cpp
@@ -5,17 +5,17 @@
 namespace larkroad::coordination {
 namespace {
 
-// What it costs to take room from a more important class, in heartbeat intervals.
-constexpr double kDisplacedHeartbeats = 1;
-// What it costs to block all GPUs of a machine, in heartbeat intervals.
-constexpr double kBlockedHeartbeats = 4;
-// What it costs to go back to a machine on which the job has failed, in heartbeat intervals.
-constexpr double kFailedHeartbeats = 16;
-// What it costs to put a replica beside another of its service, in seconds: more than any
-// difference in fit, less than most images take.
-constexpr Seconds kSharedMachineSeconds = 1;
+// The cost of displacing one task of a higher-priority class, in heartbeat intervals.
+constexpr double kDisplacementCostHeartbeats = 1;
+// The cost of blocking all GPUs of a machine, in heartbeat intervals.
+constexpr double kBlockedGpusCostHeartbeats = 4;
+// The cost of a machine on which the job has failed before, in heartbeat intervals.
+constexpr double kFailedMachineCostHeartbeats = 16;
+// The cost of placing a replica on a machine with another replica of its service, in seconds: more
+// than any difference in fit, less than the fetch of most images.
+constexpr Seconds kSharedMachineCostS = 1;
 
-double part(double left, double all) { return all > 0 ? left / all : 0; }
+double ratio(double available, double total) { return total > 0 ? available / total : 0; }
 
 }  // namespace
 
@@ -36,7 +36,8 @@
   return choose_zone(job, tasks, policy, replicas).choice;
 }
 
-// All in one zone, none chosen yet: the zone that takes the most, and of those the cheapest.
+// Chooses the zone for a job that must run in one zone and has no live task yet: the zone that fits
+// the most tasks, and among equals the cheapest.
 MachineChooser::CostedChoice MachineChooser::choose_zone(
     const Job& job, const std::vector<std::uint32_t>& tasks, const PlacementPolicy& policy,
     const std::map<const Machine*, int>& replicas) {
@@ -86,7 +87,7 @@
     const auto [offered, machine] = offers.pop_cheapest();
     const std::string& zone = view_.pool_of(*machine).zone;
     if (spec.spread && zone_counts[zone] >= max_tasks_per_zone(spec)) continue;
-    // What has been taken meanwhile may have made it more expensive, or impossible.
+    // Tasks placed since the offer was made may have raised its cost or filled the machine.
     const auto cost = offer_cost(request, *machine);
     if (!cost) continue;
     if (*cost > offered && offers.has_cheaper_than(*cost)) {
@@ -106,47 +107,50 @@
 // The cost of one more task on a machine; none when it cannot take it.
 std::optional<double> MachineChooser::offer_cost(const Request& request,
                                                  MachineView& machine) const {
-  if (!machine.room.fits(needs_of(request.job.spec))) return std::nullopt;
-  const auto lost = displaced(request, machine);
-  if (!lost) return std::nullopt;
+  if (!machine.available.fits(needs_of(request.job.spec))) return std::nullopt;
+  const auto displaced = displaced_tasks(request, machine);
+  if (!displaced) return std::nullopt;
   const Seconds heartbeat = view_.cluster().settings().heartbeat_interval_s;
-  const double cost = score(request, machine) + *lost * heartbeat * kDisplacedHeartbeats;
-  // Where a task fills a machine exactly, the rounding of sums may leave a score just below 0: such
-  // a machine is not offered.
+  const double cost =
+      score(request, machine) + *displaced * heartbeat * kDisplacementCostHeartbeats;
+  // When a task fills a machine exactly, rounding errors may leave a score just below 0: such a
+  // machine is not offered.
   if (cost < 0) return std::nullopt;
   return cost;
 }
 
-// What placing a task here costs the job and others, in seconds of somebody's time.
+// The cost of placing a task on the machine, in seconds of delay to this or other jobs.
 double MachineChooser::score(const Request& request, MachineView& machine) const {
   const Job& job = request.job;
   const MachinePool& pool = view_.pool_of(machine);
   const Seconds heartbeat = view_.cluster().settings().heartbeat_interval_s;
   double out = view_.image_wait(job, machine);
-  // Work that needs no GPU leaves the machines that have some to work that does, unless it would
-  // wait for its image on others.
+  // Jobs without GPUs leave GPU machines to GPU jobs, unless they would have to wait longer for
+  // their image on other machines.
   if (job.spec.gpus == 0 && pool.type->gpus > 0) {
-    out += heartbeat * (1 + kBlockedHeartbeats * view_.blocked_gpus(job, machine));
+    out += heartbeat * (1 + kBlockedGpusCostHeartbeats * view_.blocked_gpus(job, machine));
   }
-  // Another machine shows whether the job or the machine is at fault.
-  if (job.failed_machines.contains(machine.machine->name)) out += heartbeat * kFailedHeartbeats;
-  // The loss of a machine then takes few replicas of a service.
+  // Trying another machine shows whether the job or the machine is at fault.
+  if (job.failed_machines.contains(machine.machine->name)) {
+    out += heartbeat * kFailedMachineCostHeartbeats;
+  }
+  // Spreading replicas over machines limits how many are lost with one machine.
   if (const auto it = request.replicas.find(machine.machine); it != request.replicas.end()) {
-    out += kSharedMachineSeconds * it->second;
+    out += kSharedMachineCostS * it->second;
   }
-  // Spot machines first: what may not use them has only the others.
+  // Spot machines are preferred, as jobs that may not use them depend on the on-demand machines.
   if (job.spec.spot && !pool.spot) out += heartbeat;
-  // Best fit: the less room remains, the better the rest of the fleet can take large tasks.
-  Resources rest = machine.room;
+  // Best fit: filling machines up leaves larger gaps on the others for large tasks.
+  Resources rest = machine.available;
   rest -= needs_of(job.spec);
   const Resources& capacity = machine.machine->capacity;
-  return out + (part(rest.cpus, capacity.cpus) + part(rest.memory_gb, capacity.memory_gb)) / 2;
+  return out + (ratio(rest.cpus, capacity.cpus) + ratio(rest.memory_gb, capacity.memory_gb)) / 2;
 }
 
-// How many tasks of more important classes would lose their room to a task of this job here; none
-// when what is left would be less than their reserve.
-std::optional<double> MachineChooser::displaced(const Request& request,
-                                                const MachineView& machine) const {
+// How many fewer tasks of higher-priority classes would fit with a task of this job on the machine;
+// none when that would leave less than their reserve.
+std::optional<double> MachineChooser::displaced_tasks(const Request& request,
+                                                      const MachineView& machine) const {
   double out = 0;
   for (const ClassReserve& reserve : view_.reserves()) {
     if (reserve.spec->priority >= request.policy.priority || !reserve.allowed[machine.pool]) {
--- a/src/coordination/scheduling/placement.hpp
+++ b/src/coordination/scheduling/placement.hpp
@@ -1,7 +1,7 @@
 /// The filter and score stages of a scheduling cycle: bin packing of one job's tasks.
 ///
-/// Machines that cannot take a task are filtered out; the others are scored by what a task there
-/// costs, in seconds of somebody's time, and the cheapest are chosen.
+/// Machines that cannot take a task are filtered out. The others are scored by the cost of placing
+/// a task there, expressed in seconds of delay to this or other jobs, and the cheapest are chosen.
 #pragma once
 
 #include <map>
@@ -15,12 +15,12 @@
 
 namespace larkroad::coordination {
 
-/// A machine for each task.
+/// The machine chosen for each task.
 using Choice = std::vector<std::pair<MachineView*, std::uint32_t>>;
 
-/// Which room a job may use beside what is reserved for more important classes.
+/// How a job is placed with respect to capacity reserved for higher-priority classes.
 struct PlacementPolicy {
-  protocol::Priority priority = protocol::Priority::low;  ///< as which the job is placed
+  protocol::Priority priority = protocol::Priority::low;  ///< at which the job is placed
   bool ignores_reserves = false;
 };
 
@@ -28,13 +28,13 @@
  public:
   explicit MachineChooser(CycleView& view) : view_(view) {}
 
-  /// Chooses a machine for each of `tasks`, as far as there is room, and takes the room from the
-  /// view. Fewer tasks than asked for are the first of them.
+  /// Chooses a machine for as many of `tasks` as fit, in their order, and allocates the capacity in
+  /// the view.
   Choice choose(const Job& job, const std::vector<std::uint32_t>& tasks,
                 const PlacementPolicy& policy);
-  /// Gives back the room of a choice that is not used.
+  /// Releases the capacity of a choice that is not used.
   void release(const Job& job, const Choice& choice);
-  /// How many machines have been considered, once for each job: what the cycle costs.
+  /// The machines considered, summed over all jobs: a measure of the cycle's cost.
   size_t machines_considered() const { return machines_considered_; }
 
  private:
@@ -42,7 +42,7 @@
     const Job& job;
     const PlacementPolicy& policy;
     std::optional<std::string> zone;  ///< none: any
-    /// How many replicas of the service each machine has, those chosen here included.
+    /// The service's replicas on each machine, including those chosen so far.
     std::map<const Machine*, int> replicas;
   };
   struct CostedChoice {
@@ -58,7 +58,7 @@
   MachineOffers offers_for(const Request& request);
   std::optional<double> offer_cost(const Request& request, MachineView& machine) const;
   double score(const Request& request, MachineView& machine) const;
-  std::optional<double> displaced(const Request& request, const MachineView& machine) const;
+  std::optional<double> displaced_tasks(const Request& request, const MachineView& machine) const;
 
   CycleView& view_;
   size_t machines_considered_ = 0;
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -9,7 +9,7 @@
 namespace larkroad::coordination {
 namespace {
 
-// Whether the job is past half the time that its next due time leaves it to start.
+// Whether more than half the time from the job's submission to its next due start has passed.
 bool is_past_half_of_wait(const ClusterState& cluster, const Job& job, Seconds now) {
   const auto start_by = next_start_by(cluster, job, now);
   return start_by && now - job.submitted > (*start_by - job.submitted) / 2;
@@ -22,7 +22,7 @@
   return *guaranteed_;
 }
 
-// Collected only when a job needs them: most cycles preempt nothing.
+// Candidates are collected on first use, as most cycles preempt nothing.
 PreemptionCandidates& Preemptor::candidates() {
   if (!candidates_) candidates_.emplace(view_, guaranteed());
   return *candidates_;
@@ -47,7 +47,7 @@
       });
 }
 
-// The zones to be tried one by one; a single entry without a zone stands for all together.
+// The zones to be tried one by one; a single empty entry stands for all zones together.
 std::vector<std::optional<std::string>> Preemptor::zones_for(const Job& job,
                                                              const ZoneCounts& live) const {
   if (!job.spec.one_zone) return {std::nullopt};
@@ -57,16 +57,16 @@
 }
 
 void Preemptor::claim(const Job& job, const std::vector<MachineView*>& machines) {
-  // A claim is made anew in every cycle, and needs no reservation besides.
+  // A claim is renewed in every cycle, so it replaces the reservation.
   if (const GangReservations::Reservation* own = reservations_.find(job.id())) {
     view_.free_reserved(*own);
     reservations_.release(job.id());
   }
-  // What is free of it already is kept from less important work, too.
+  // The part of the claim that is already free is also withheld from less important jobs.
   const Resources need = needs_of(job.spec);
   for (MachineView* machine : machines) {
     machine->releasing += need;
-    machine->room -= need;
+    machine->available -= need;
   }
   view_.take_quota(job, static_cast<double>(machines.size()));
 }
@@ -79,12 +79,12 @@
   }
 }
 
-// Claims machines for the job in the first zone that takes all of it, and returns whether one does.
-bool Preemptor::claim_room(const Job& job, PreemptionSearch& search, const ZoneCounts& live,
+// Claims machines for the job in the first zone that fits all of it. Returns whether there is one.
+bool Preemptor::claim_zone(const Job& job, PreemptionSearch& search, const ZoneCounts& live,
                            const PreemptionChanges& quota_changes, std::vector<Preemption>& out) {
   for (const auto& zone : zones_for(job, live)) {
-    // Nothing is preempted in a zone that in the end does not take the job.
-    PreemptionChanges zone_changes = candidates().begin();
+    // Preemptions in a zone that does not fit the whole job are undone.
+    PreemptionChanges zone_changes = candidates().begin_changes();
     if (const auto machines = search.claim_machines(zone, live, zone_changes)) {
       claim(job, *machines);
       append_preemptions(job, quota_changes, out);
@@ -96,8 +96,8 @@
   return false;
 }
 
-void Preemptor::make_room(const Job& job, const PreemptionRights& rights,
-                          std::vector<Preemption>& out) {
+void Preemptor::free_capacity(const Job& job, const PreemptionRights& rights,
+                              std::vector<Preemption>& out) {
   PreemptionCandidates& preemptible = candidates();
   const std::uint32_t wanted = job.spec.is_gang() ? job.waiting() : 1;
   if (wanted == 0) return;
@@ -112,16 +112,17 @@
   if (!live) return;
 
   PreemptionSearch search(view_, preemptible, job, rights, wanted, own);
-  PreemptionChanges quota_changes = preemptible.begin();
+  PreemptionChanges quota_changes = preemptible.begin_changes();
   if (!search.free_quota(quota_changes)) {
     preemptible.undo(quota_changes);
     return;
   }
-  const bool found = claim_room(job, search, *live, quota_changes, out);
+  const bool found = claim_zone(job, search, *live, quota_changes, out);
   machines_considered_ += search.machines_considered();
   if (found) return;
   preemptible.undo(quota_changes);
-  // Of a job that has live tasks the zones are narrowed down: that says nothing of others.
+  // A job with live tasks may be restricted to fewer zones, so its failure does not rule out
+  // others.
   if (live->empty() && own == nullptr) failed_searches_.push_back(attempt);
 }
 
--- a/src/coordination/scheduling/preemption.hpp
+++ b/src/coordination/scheduling/preemption.hpp
@@ -1,5 +1,5 @@
-/// The preemption stage of a scheduling cycle: makes room for a job that found none by stopping
-/// less important tasks.
+/// The preemption stage of a scheduling cycle: frees capacity for a job that did not fit by
+/// stopping less important tasks.
 #pragma once
 
 #include <optional>
@@ -19,8 +19,8 @@
 struct Preemption {
   std::string job;
   std::uint32_t task = 0;
-  bool save = false;    ///< it is given the time to save a checkpoint
-  std::string for_job;  ///< the job that gets the room
+  bool save = false;    ///< the task is given time to save a checkpoint
+  std::string for_job;  ///< the job that gets the capacity
 };
 
 /// Chooses preemptions for the jobs of one cycle, in the order of the queue.
@@ -29,25 +29,26 @@
   Preemptor(CycleView& view, GangReservations& reservations)
       : view_(view), reservations_(reservations) {}
 
-  /// Work within its team's guarantee need not wait for what another team runs beyond its own, so
-  /// it gives that no time to end by itself.
+  /// A job within its team's guarantee may preempt what other teams run beyond their guarantees at
+  /// once, without first waiting for it to end.
   PreemptionRights rights_of(const Job& job);
-  /// Whether the job may have work of lower priority preempted. Work that is not urgent first gives
-  /// room half the time that its next due time leaves to become free by itself.
+  /// Whether the job may preempt tasks of lower priority. A job of normal priority may not until
+  /// half the time that remained from its submission to its next due start has passed, as capacity
+  /// may become free by then without preemption.
   bool may_preempt_lower(const Job& job) const;
 
-  /// Preempts less important tasks where that makes room for a job that found none, and claims that
-  /// room and the part of the team's limit: what the first of them frees must not go to less
-  /// important work before the last has ended. What is being stopped already counts as room to
-  /// come, so that nothing is preempted twice for one need. Of a gang all members find room or
-  /// nothing is preempted.
-  void make_room(const Job& job, const PreemptionRights& rights, std::vector<Preemption>& out);
+  /// Preempts less important tasks if that frees enough capacity for a job that did not fit, and
+  /// claims that capacity and the team's quota: what the first victim frees must not go to less
+  /// important jobs before the last victim has ended. Tasks that are already being stopped count as
+  /// capacity about to be free, so that nothing is preempted twice for one need. For a gang, either
+  /// all members get capacity or nothing is preempted.
+  void free_capacity(const Job& job, const PreemptionRights& rights, std::vector<Preemption>& out);
 
-  /// How many machines have been considered, once for each job: what the cycle costs.
+  /// The machines considered, summed over all jobs: a measure of the cycle's cost.
   size_t machines_considered() const { return machines_considered_; }
 
  private:
-  /// What was searched for in vain.
+  /// A search that found too little capacity, even with preemption.
   struct FailedSearch {
     UnschedulableNeed need;
     PreemptionRights rights;
@@ -59,7 +60,7 @@
   PreemptionCandidates& candidates();
   bool already_failed(const FailedSearch& search) const;
   std::vector<std::optional<std::string>> zones_for(const Job& job, const ZoneCounts& live) const;
-  bool claim_room(const Job& job, PreemptionSearch& search, const ZoneCounts& live,
+  bool claim_zone(const Job& job, PreemptionSearch& search, const ZoneCounts& live,
                   const PreemptionChanges& quota_changes, std::vector<Preemption>& out);
   void claim(const Job& job, const std::vector<MachineView*>& machines);
   static void append_preemptions(const Job& for_job, const PreemptionChanges& changes,
--- a/src/coordination/scheduling/preemption_candidates.cpp
+++ b/src/coordination/scheduling/preemption_candidates.cpp
@@ -14,7 +14,7 @@
 
 bool can_preempt(const Job& job, const Placement& placement) {
   if (!job.spec.is_gang()) return can_stop(placement);
-  // An orderly stop of a gang needs every member to be there.
+  // A gang can only be stopped in an orderly way when every member can be.
   return std::all_of(job.placements.begin(), job.placements.end(),
                      [](const auto& entry) { return can_stop(entry.second); });
 }
@@ -25,7 +25,7 @@
     : view_(view) {
   size_t placements = 0;
   for (const auto& [id, job] : view_.cluster().jobs()) placements += job->placements.size();
-  candidates_.reserve(placements);  // pointers into it must last
+  candidates_.reserve(placements);  // pointers into the vector must stay valid
   for (const auto& [id, job] : view_.cluster().jobs())
     add_job(*job, guaranteed.contains(job->id()));
 }
@@ -60,7 +60,7 @@
   return it == by_machine_.end() ? nullptr : &it->second;
 }
 
-PreemptionChanges PreemptionCandidates::begin() const {
+PreemptionChanges PreemptionCandidates::begin_changes() const {
   PreemptionChanges changes;
   changes.quota_releasing_before = quota_releasing_;
   return changes;
@@ -96,7 +96,7 @@
 }
 
 void PreemptionCandidates::undo(PreemptionChanges& changes) {
-  // The newest first: the oldest has the amount from before all changes.
+  // Undone in reverse order, so that the value from before all changes is restored last.
   std::reverse(changes.releasing_before.begin(), changes.releasing_before.end());
   for (const auto& [machine, before] : changes.releasing_before) machine->releasing = before;
   for (const Victim& victim : changes.victims) victim.candidate->preempted = false;
--- a/src/coordination/scheduling/preemption_candidates.hpp
+++ b/src/coordination/scheduling/preemption_candidates.hpp
@@ -1,7 +1,7 @@
 /// The running tasks that a cycle may preempt, and what preempting them frees.
 ///
-/// A snapshot of the cluster's placements, made at most once in a cycle, with the preemptions
-/// chosen so far. Choices are recorded in `PreemptionChanges`, by which a search that fails is
+/// A snapshot of the cluster's placements, taken at most once per cycle, with the preemptions
+/// chosen so far. Choices are recorded in `PreemptionChanges`, with which a failed search is
 /// undone.
 #pragma once
 
@@ -16,35 +16,35 @@
 
 namespace larkroad::coordination {
 
-/// A running task that some job may have preempted.
+/// A running task that some job may preempt.
 struct PreemptionCandidate {
   const Job* job = nullptr;
   const Placement* placement = nullptr;
-  MachineView* machine = nullptr;  ///< null when the machine takes no work at present
-  bool within_guarantee = false;   ///< the job lies within its team's guarantee
+  MachineView* machine = nullptr;  ///< null when the machine accepts no tasks at present
+  bool within_guarantee = false;   ///< the job is within its team's guarantee
   bool team_has_guarantee = true;
   bool preempted = false;  ///< chosen in this cycle
 };
 
-/// A candidate that one job would have preempted, and what that loses: the time to save a
-/// checkpoint, or all work since the last one. Of a gang all members are preempted, and what all of
-/// them lose counts.
+/// A candidate chosen to be preempted for a job, with the time lost: that of saving a checkpoint,
+/// or all work since the last one. The members of a gang are preempted together, and their losses
+/// are added up.
 struct Victim {
   PreemptionCandidate* candidate = nullptr;
   double lost_seconds = 0;
-  bool save = false;  ///< it is given the time to save a checkpoint
+  bool save = false;  ///< the task is given time to save a checkpoint
 };
 
 /// The candidates on one machine.
 struct MachineCandidates {
   std::vector<PreemptionCandidate*> candidates;
-  /// All room that preempting them could free, by the effective priority of the tasks.
+  /// All capacity that preempting them could free, by the effective priority of the tasks.
   ResourcesByPriority by_priority{};
-  /// The same of the tasks of teams without a guarantee.
+  /// The same for tasks of teams without a guarantee only.
   ResourcesByPriority without_guarantee{};
 };
 
-/// What a search has changed, to undo it.
+/// The changes made by a search, kept so that they can be undone.
 struct PreemptionChanges {
   std::vector<Victim> victims;  ///< one for each task, all members of a gang included
   /// `MachineView::releasing` as it was before each change.
@@ -55,8 +55,9 @@
 
 class PreemptionCandidates {
  public:
-  /// Collects candidates from the view's cluster, and adds what is being stopped already to the
-  /// machines' `releasing`. `guaranteed`: the jobs within their team's guarantee.
+  /// Collects candidates from the view's cluster, and adds the needs of tasks that are already
+  /// being stopped to the machines' `releasing`. `guaranteed`: the jobs within their team's
+  /// guarantee.
   PreemptionCandidates(CycleView& view, const std::set<std::string>& guaranteed);
   // The indexes point into the candidates.
   PreemptionCandidates(const PreemptionCandidates&) = delete;
@@ -67,15 +68,14 @@
   const std::vector<PreemptionCandidate*>& of_team(const std::string& team) {
     return by_team_[team];
   }
-  /// The part of the team's quota that tasks which are being stopped, or preempted in this cycle,
-  /// will free.
+  /// The quota of the team that will be freed by tasks being stopped or preempted in this cycle.
   const Resources& quota_releasing(const std::string& team) { return quota_releasing_[team]; }
 
-  /// Starts a record of changes.
-  PreemptionChanges begin() const;
-  /// Preempts the victim; with one task of a gang all of them.
+  /// Starts a new record of changes.
+  PreemptionChanges begin_changes() const;
+  /// Preempts the victim, or the whole gang when the victim belongs to one.
   void preempt(const Victim& victim, PreemptionChanges& changes);
-  /// Claims room being released on the machine for one task.
+  /// Claims capacity being released on the machine for one task.
   static void claim(MachineView& machine, const Resources& need, PreemptionChanges& changes);
   /// Undoes all recorded changes.
   void undo(PreemptionChanges& changes);
--- a/src/coordination/scheduling/preemption_rights.hpp
+++ b/src/coordination/scheduling/preemption_rights.hpp
@@ -1,4 +1,4 @@
-/// Whose tasks a job may have preempted.
+/// Which tasks a job may preempt.
 #pragma once
 
 #include <string>
@@ -6,9 +6,9 @@
 namespace larkroad::coordination {
 
 struct PreemptionRights {
-  bool by_priority = false;   ///< those of lower priority
-  bool by_guarantee = false;  ///< those that other teams run beyond their own guarantee
-  std::string team;           ///< of the job
+  bool by_priority = false;   ///< tasks of lower priority
+  bool by_guarantee = false;  ///< tasks that other teams run beyond their guarantees
+  std::string team;           ///< the job's team
 
   bool any() const { return by_priority || by_guarantee; }
   /// Whether these allow whatever `others` allow.
--- a/src/coordination/scheduling/preemption_search.cpp
+++ b/src/coordination/scheduling/preemption_search.cpp
@@ -12,13 +12,14 @@
 namespace larkroad::coordination {
 namespace {
 
-// How long a replica is away when it is preempted, in heartbeat intervals.
-constexpr double kRestartHeartbeats = 2;
-// A checkpoint is saved only where that leaves the job at least this part of a heartbeat interval.
-constexpr double kSaveMargin = 1.0 / 4;
-// How many machines of a pool on which room can be made are compared: so many, or for a gang so
-// many a task. The rest of a large fleet is not considered.
-constexpr size_t kOffersLeast = 64;
+// The assumed downtime of a replica when it is preempted, in heartbeat intervals.
+constexpr double kReplicaDowntimeHeartbeats = 2;
+// A checkpoint is saved only if that leaves at least this fraction of a heartbeat interval before
+// the preempting job must start.
+constexpr double kSaveMarginHeartbeats = 1.0 / 4;
+// How many machines of a pool are compared among those that could take a task: the larger of a
+// fixed number and a number per task. The rest of a large fleet is not considered.
+constexpr size_t kMinOffersPerPool = 64;
 constexpr size_t kOffersPerTask = 8;
 
 }  // namespace
@@ -36,14 +37,14 @@
       time_left_(next_start_by(view.cluster(), job, view.now()).value_or(kNoLimit) - view.now()),
       reservation_(reservation) {}
 
-// Work of higher priority is never preempted for a guarantee: it would preempt this job in its
-// turn, again and again. Of equal priority only work of teams without a guarantee is: it comes last
-// in the queue, whereas another team's might take the room that is freed before this job does.
+// Tasks of higher priority are never preempted to meet a guarantee: they would preempt this job in
+// turn, and so on. At equal priority only tasks of teams without a guarantee are preempted: those
+// teams come last in the queue, whereas another team's job might take the freed capacity first.
 bool PreemptionSearch::may_preempt(const PreemptionCandidate& candidate) const {
   if (candidate.preempted) return false;
   const JobSpec& spec = job_.spec;
   const JobSpec& other = candidate.job->spec;
-  // GPU work is not preempted for what needs none, unless that is urgent.
+  // GPU tasks are preempted for a job without GPUs only if that job is urgent.
   if (spec.gpus <= 0 && other.gpus > 0 && spec.priority > protocol::Priority::high) return false;
   const auto priority = candidate.job->effective_priority();
   if (rights_.by_priority && priority > spec.priority) return true;
@@ -57,16 +58,17 @@
   const Seconds ran = placement.running_since < 0 ? 0 : view_.now() - placement.running_since;
   const Seconds heartbeat = view_.cluster().settings().heartbeat_interval_s;
   Seconds unsaved = spec.checkpoint_s > 0 ? std::fmod(ran, spec.checkpoint_s) : ran;
-  // A replica repeats no work, but it is away until it runs on another machine.
-  if (spec.is_service()) unsaved = heartbeat * kRestartHeartbeats;
+  // A replica loses no work, but it is down until it runs on another machine.
+  if (spec.is_service()) unsaved = heartbeat * kReplicaDowntimeHeartbeats;
   const bool save = spec.checkpoint_s > 0 && unsaved > spec.save_s &&
-                    spec.save_s + heartbeat * kSaveMargin <= time_left_;
+                    spec.save_s + heartbeat * kSaveMarginHeartbeats <= time_left_;
   const double members = spec.is_gang() ? static_cast<double>(candidate.job->placements.size()) : 1;
   return {&candidate, (save ? spec.save_s : unsaved) * members, save};
 }
 
-// The least important first, then those that lose less by a heartbeat interval or more, then those
-// of the job that came last: preempting all jobs alike would let none of them end.
+// Orders victims by lowest priority, then by least lost time in whole heartbeat intervals, then by
+// latest submission: if preemptions were spread evenly over similar jobs, none of them would
+// finish.
 std::vector<Victim> PreemptionSearch::victims_of(
     const std::vector<PreemptionCandidate*>& candidates) const {
   std::vector<Victim> out;
@@ -88,7 +90,7 @@
 
 void PreemptionSearch::preempt(const std::vector<Victim>& victims, PreemptionChanges& changes) {
   for (const Victim& victim : victims) {
-    // It may have gone with another member of its gang.
+    // The task may already have been preempted with another member of its gang.
     if (!victim.candidate->preempted) candidates_.preempt(victim, changes);
   }
 }
@@ -108,75 +110,78 @@
   return quota_fits();
 }
 
-Resources PreemptionSearch::room_on(const MachineView& machine) const {
-  Resources room = machine.room;
-  room += machine.releasing;
-  if (reservation_ == nullptr) return room;
+// Capacity that the job could use on the machine without further preemption.
+Resources PreemptionSearch::claimable_on(const MachineView& machine) const {
+  Resources available = machine.available;
+  available += machine.releasing;
+  if (reservation_ == nullptr) return available;
   const auto reserved = reservation_->tasks.find(machine.machine->name);
   if (reserved != reservation_->tasks.end()) {
-    take_room(room, reservation_->each, -static_cast<double>(reserved->second));
+    subtract_needs(available, reservation_->each, -static_cast<double>(reserved->second));
   }
-  return room;
+  return available;
 }
 
-// Whether a task would fit if all that could be preempted were: a quick test for most machines.
+// Whether a task would fit if all preemptible tasks were stopped. A cheap check that rules out most
+// machines.
 bool PreemptionSearch::could_fit(const MachineView& machine) const {
-  Resources room = room_on(machine);
-  if (room.fits(need_)) return true;
+  Resources available = claimable_on(machine);
+  if (available.fits(need_)) return true;
   const MachineCandidates* on_machine = candidates_.on(machine);
   if (on_machine == nullptr) return false;
   const auto own = static_cast<size_t>(job_.spec.priority);
   for (size_t priority = own + 1; priority < kPriorities; ++priority) {
-    room += on_machine->by_priority[priority];
+    available += on_machine->by_priority[priority];
   }
-  if (rights_.by_guarantee) room += on_machine->without_guarantee[own];
-  return room.fits(need_);
+  if (rights_.by_guarantee) available += on_machine->without_guarantee[own];
+  return available.fits(need_);
 }
 
-// None when no room can be made.
-std::optional<PreemptionSearch::RoomCost> PreemptionSearch::room_cost(MachineView& machine) const {
+// None when preemption cannot free enough capacity on the machine.
+std::optional<PreemptionSearch::ClaimCost> PreemptionSearch::claim_cost(
+    MachineView& machine) const {
   const JobSpec& spec = job_.spec;
-  RoomCost out;
+  ClaimCost out;
   const bool has_image = machine.machine->images.contains(spec.image);
   out.seconds = has_image ? 0 : fetch_time(spec, *view_.pool_of(machine).type);
-  Resources room = room_on(machine);
-  if (room.fits(need_)) return out;
+  Resources available = claimable_on(machine);
+  if (available.fits(need_)) return out;
   const MachineCandidates* on_machine = candidates_.on(machine);
   if (on_machine == nullptr) return std::nullopt;
   std::set<const Job*> gangs;
   for (const Victim& victim : victims_of(on_machine->candidates)) {
     const Job* job = victim.candidate->job;
     if (job->spec.is_gang() && !gangs.insert(job).second) continue;
-    room += needs_of(job->spec);
+    available += needs_of(job->spec);
     out.seconds += victim.lost_seconds;
     out.victims.push_back(victim);
-    if (room.fits(need_)) return out;
+    if (available.fits(need_)) return out;
   }
   return std::nullopt;
 }
 
 MachineOffers PreemptionSearch::offers_in(const std::optional<std::string>& zone) {
-  const size_t most_of_pool =
-      std::max<size_t>(kOffersLeast, static_cast<size_t>(wanted_) * kOffersPerTask);
+  const size_t max_pool_offers =
+      std::max<size_t>(kMinOffersPerPool, static_cast<size_t>(wanted_) * kOffersPerTask);
   MachineOffers out;
   for (const MachinePool& pool : view_.pools()) {
     if (zone && pool.zone != *zone) continue;
     if (!allows(job_.spec, *pool.type, pool.zone, pool.spot)) continue;
-    size_t of_pool = 0;
+    size_t pool_offers = 0;
     for (MachineView* machine : pool.machines) {
-      if (of_pool >= most_of_pool) break;
+      if (pool_offers >= max_pool_offers) break;
       if (!could_fit(*machine)) continue;
       ++machines_considered_;
-      const auto cost = room_cost(*machine);
+      const auto cost = claim_cost(*machine);
       if (!cost) continue;
-      ++of_pool;
+      ++pool_offers;
       out.add({cost->seconds, machine});
     }
   }
   return out;
 }
 
-// The cheapest machine for each task, again and again.
+// Repeatedly claims the cheapest machine for one more task.
 std::optional<std::vector<MachineView*>> PreemptionSearch::claim_machines(
     const std::optional<std::string>& zone, ZoneCounts zone_counts, PreemptionChanges& changes) {
   const JobSpec& spec = job_.spec;
@@ -186,7 +191,7 @@
     const auto [offered, machine] = offers.pop_cheapest();
     const std::string& machine_zone = view_.pool_of(*machine).zone;
     if (spec.spread && zone_counts[machine_zone] >= max_tasks_per_zone(spec)) continue;
-    const auto cost = room_cost(*machine);
+    const auto cost = claim_cost(*machine);
     if (!cost) continue;
     if (cost->seconds > offered && offers.has_cheaper_than(cost->seconds)) {
       offers.add({cost->seconds, machine});
@@ -196,7 +201,7 @@
     PreemptionCandidates::claim(*machine, need_, changes);
     ++zone_counts[machine_zone];
     claimed.push_back(machine);
-    if (const auto next_cost = room_cost(*machine)) offers.add({next_cost->seconds, machine});
+    if (const auto next_cost = claim_cost(*machine)) offers.add({next_cost->seconds, machine});
   }
   if (claimed.size() != wanted_) return std::nullopt;
   return claimed;
--- a/src/coordination/scheduling/preemption_search.hpp
+++ b/src/coordination/scheduling/preemption_search.hpp
@@ -12,31 +12,30 @@
 
 namespace larkroad::coordination {
 
-/// Finds machines on which the job's tasks would fit, counting room that is being released, and the
-/// least costly victims where that is not enough. Records what it preempts and claims in changes
+/// Finds machines on which the job's tasks would fit, counting capacity that is being released, and
+/// the cheapest victims where that is not enough. Preemptions and claims are recorded as changes
 /// that the caller keeps or undoes.
 class PreemptionSearch {
  public:
-  /// `wanted`: how many tasks of the job need room. `reservation`: of the job; null when it has
-  /// none.
+  /// `wanted`: how many tasks of the job need capacity. `reservation`: the job's own; null when it
+  /// has none.
   PreemptionSearch(CycleView& view, PreemptionCandidates& candidates, const Job& job,
                    const PreemptionRights& rights, std::uint32_t wanted,
                    const GangReservations::Reservation* reservation);
 
-  /// Preempts less important tasks of the job's own team until its limit has room for the job.
-  /// Returns whether it has.
+  /// Preempts less important tasks of the job's own team until the job fits the team's limit.
+  /// Returns whether it does.
   bool free_quota(PreemptionChanges& changes);
-  /// Claims machines for all wanted tasks in the zone, or in any when none is given. Returns
-  /// nothing when there are not enough.
+  /// Claims machines for all wanted tasks in the zone, or in any zone when none is given. None when
+  /// there are not enough machines.
   std::optional<std::vector<MachineView*>> claim_machines(const std::optional<std::string>& zone,
                                                           ZoneCounts zone_counts,
                                                           PreemptionChanges& changes);
-  /// How many machines have been considered.
   size_t machines_considered() const { return machines_considered_; }
 
  private:
-  /// What one more task on a machine costs, in seconds, and whom it preempts.
-  struct RoomCost {
+  /// The cost of claiming capacity for one more task on a machine, in seconds, and its victims.
+  struct ClaimCost {
     double seconds = 0;
     std::vector<Victim> victims;
   };
@@ -45,9 +44,9 @@
   std::vector<Victim> victims_of(const std::vector<PreemptionCandidate*>& candidates) const;
   void preempt(const std::vector<Victim>& victims, PreemptionChanges& changes);
   bool quota_fits();
-  Resources room_on(const MachineView& machine) const;
+  Resources claimable_on(const MachineView& machine) const;
   bool could_fit(const MachineView& machine) const;
-  std::optional<RoomCost> room_cost(MachineView& machine) const;
+  std::optional<ClaimCost> claim_cost(MachineView& machine) const;
   MachineOffers offers_in(const std::optional<std::string>& zone);
 
   CycleView& view_;
--- a/src/coordination/scheduling/priority_aging.cpp
+++ b/src/coordination/scheduling/priority_aging.cpp
@@ -5,14 +5,15 @@
 namespace larkroad::coordination {
 namespace {
 
-// A job that has not begun ages after these parts of its time to start: the bound less what its
-// image takes to arrive, though no less than this part of the bound. Aging early costs others: in a
-// burst that lasts, all capacity would go to the jobs that have waited longest.
-constexpr double kLeastTimeToStart = 1.0 / 2;
-constexpr double kFirstAfter = 3.0 / 4;
-constexpr double kUrgentAfter = 5.0 / 6;
-
-// The longest that any machine which may run the job takes to fetch its image.
+// The time to start is the bound less the fetch time of the job's image, but at least this fraction
+// of the bound.
+constexpr double kMinTimeToStartRatio = 1.0 / 2;
+// A job that has not started ages after these fractions of its time to start. Earlier aging would
+// harm other jobs: in a long burst, all capacity would go to the jobs that have waited longest.
+constexpr double kFirstOfPriorityRatio = 3.0 / 4;
+constexpr double kUrgentRatio = 5.0 / 6;
+
+// The longest fetch time of the job's image on any machine type that may run the job.
 Seconds longest_fetch(const ClusterState& cluster, const JobSpec& spec) {
   Seconds longest = 0;
   for (const MachineType& type : cluster.types()) {
@@ -29,10 +30,10 @@
 Aging aging_of(const ClusterState& cluster, const Job& job, Seconds now, Seconds start_bound) {
   if (start_bound <= 0 || job.seen_running) return Aging::none;
   const Seconds time_to_start =
-      std::max(start_bound - longest_fetch(cluster, job.spec), start_bound * kLeastTimeToStart);
+      std::max(start_bound - longest_fetch(cluster, job.spec), start_bound * kMinTimeToStartRatio);
   const Seconds waited = now - job.submitted;
-  if (waited > time_to_start * kUrgentAfter) return Aging::urgent;
-  if (waited > time_to_start * kFirstAfter) return Aging::first_of_its_priority;
+  if (waited > time_to_start * kUrgentRatio) return Aging::urgent;
+  if (waited > time_to_start * kFirstOfPriorityRatio) return Aging::first_of_its_priority;
   return Aging::none;
 }
 
--- a/src/coordination/scheduling/priority_aging.hpp
+++ b/src/coordination/scheduling/priority_aging.hpp
@@ -1,8 +1,8 @@
-/// Priority aging: how a job that has waited for long moves forward in the work queue.
+/// Priority aging: moves jobs that have waited for a long time forward in the work queue.
 ///
-/// The order of work gives up the largest jobs first when not all can meet their due times, which
-/// alone could starve them. Aging guards against that: every job starts within a bound, as long as
-/// the cluster can run it at all.
+/// When not all jobs can meet their due times, the queue order defers the largest jobs first, which
+/// could starve them. Aging prevents that: every job starts within a bound, provided that the
+/// cluster can run it at all.
 #pragma once
 
 #include "coordination/cluster_state/cluster_state.hpp"
@@ -15,12 +15,12 @@
   urgent,                 ///< ordered as a job of high priority
 };
 
-/// The aging of a job that no task of has run yet. `start_bound`: within how many seconds of its
-/// submission a job is to start; 0: no bound, so no job ages. The time that the job's image takes
-/// to arrive counts as a part of the bound.
+/// The aging of a job; none once a task of it has run. `start_bound`: the number of seconds after
+/// its submission within which a job should start; 0: no bound, so no job ages. The bound includes
+/// the time to fetch the job's image.
 Aging aging_of(const ClusterState& cluster, const Job& job, Seconds now, Seconds start_bound);
 
-/// The priority that the job is scheduled at.
+/// The priority at which the job is scheduled.
 protocol::Priority aged_priority(const Job& job, Aging aging);
 
 }  // namespace larkroad::coordination
--- a/src/coordination/scheduling/quota.hpp
+++ b/src/coordination/scheduling/quota.hpp
@@ -1,5 +1,5 @@
-/// Quotas of teams: the guarantee, which a team's work gets before that of others, and the limit,
-/// which it never exceeds.
+/// Team quotas: the guarantee, which a team's jobs get before those of other teams, and the limit,
+/// which they never exceed.
 #pragma once
 
 #include <set>
@@ -9,20 +9,20 @@
 
 namespace larkroad::coordination {
 
-/// The ids of the jobs that lie within their team's guarantee together with the earlier jobs of the
-/// team that are not finished.
+/// The ids of the jobs that fit into their team's guarantee together with the team's earlier
+/// unfinished jobs.
 std::set<std::string> within_guarantee(const ClusterState& cluster);
 
-/// Whether the team is guaranteed anything; a team without a guarantee, or unknown, gets what the
-/// others leave.
+/// Whether the team has a guarantee. A team without one, or an unknown team, gets what the others
+/// leave.
 bool has_guarantee(const Settings& settings, const std::string& team);
 
-/// What the limit of the team leaves beyond its placements and `reserved`. Memory has no limit. An
-/// unknown team has nothing.
+/// What remains of the team's limit after its placements and `reserved`. Memory is unlimited. An
+/// unknown team has no quota.
 Resources quota_left(const ClusterState& cluster, const std::string& team,
                      const Resources& reserved);
 
-/// How many tasks of the job `quota` allows.
+/// How many tasks of the job fit into `quota`.
 std::uint32_t tasks_within(const Resources& quota, const JobSpec& spec);
 
 }  // namespace larkroad::coordination
--- a/src/coordination/scheduling/ready_tasks.cpp
+++ b/src/coordination/scheduling/ready_tasks.cpp
@@ -5,16 +5,16 @@
 namespace larkroad::coordination {
 namespace {
 
-// The size of a placed task in a record, with common lengths of names and numbers.
+// The size of a placed task in a record, with names and numbers of typical length.
 constexpr size_t kTypicalTaskBytes = 32;
 
-// Counts how many more tasks the placement records of a job can hold, where that is limited.
+// Tracks how many more tasks the placement records of a job can hold, where that is limited.
 class RecordCapacity {
  public:
   RecordCapacity(const ClusterState& cluster, const Job& job)
       : cluster_(cluster), job_(job), limited_(cluster.has_oversized_shards(job)) {}
 
-  // Counts the task; false when its record has no room for it.
+  // Adds the task; false when it does not fit into its record.
   bool add(std::uint32_t task) {
     if (!limited_) return true;
     const std::uint32_t shard = job_.shard_of(task);
@@ -40,14 +40,14 @@
 }  // namespace
 
 std::vector<std::uint32_t> ready_tasks(const ClusterState& cluster, const Job& job,
-                                       std::uint32_t most, Seconds now) {
+                                       std::uint32_t max_tasks, Seconds now) {
   std::vector<std::uint32_t> out;
   RecordCapacity records(cluster, job);
   for (const std::uint32_t task : job.requeued) {
-    if (out.size() >= most) return out;
+    if (out.size() >= max_tasks) return out;
     if (!in_restart_backoff(job, task, now) && records.add(task)) out.push_back(task);
   }
-  for (std::uint32_t task = job.next_never_placed; task < job.spec.tasks && out.size() < most;
+  for (std::uint32_t task = job.next_never_placed; task < job.spec.tasks && out.size() < max_tasks;
        ++task) {
     out.push_back(task);
   }
--- a/src/coordination/scheduling/ready_tasks.hpp
+++ b/src/coordination/scheduling/ready_tasks.hpp
@@ -8,10 +8,10 @@
 
 namespace larkroad::coordination {
 
-/// Tasks of the job that wait to be placed, at most `most`, in the order in which they are placed.
-/// Left out are replicas in their restart back-off, and tasks whose shard's record has no room for
-/// them: see `ClusterState::has_oversized_shards`.
+/// Up to `max_tasks` tasks of the job that wait to be placed, in placement order. Excludes replicas
+/// in restart back-off, and tasks that do not fit into the record of their shard: see
+/// `ClusterState::has_oversized_shards`.
 std::vector<std::uint32_t> ready_tasks(const ClusterState& cluster, const Job& job,
-                                       std::uint32_t most, Seconds now);
+                                       std::uint32_t max_tasks, Seconds now);
 
 }  // namespace larkroad::coordination
--- a/src/coordination/scheduling/replica_migration.hpp
+++ b/src/coordination/scheduling/replica_migration.hpp
@@ -1,4 +1,4 @@
-/// Selects the replicas of services that must leave their machines before these go.
+/// Selects the service replicas that must be moved before their machines are lost.
 #pragma once
 
 #include <cstdint>
@@ -13,11 +13,11 @@
 struct ReplicaMigration {
   std::string job;
   std::uint32_t task = 0;
-  std::string from;  ///< its machine
+  std::string from;  ///< the machine it runs on
 };
 
-/// Replicas on machines that the cloud is about to reclaim or that are quarantined, as far as they
-/// are not being stopped yet; by the names of the machines.
+/// Replicas, not yet being stopped, on machines that the cloud is about to reclaim or that are
+/// quarantined; ordered by machine name.
 std::vector<ReplicaMigration> replicas_to_migrate(const ClusterState& cluster);
 
 }  // namespace larkroad::coordination
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -10,14 +10,15 @@
 namespace larkroad::coordination {
 namespace {
 
-// Room that is reserved for what may arrive of a more important class is kept from a job for this
-// many leases; after that the job has waited beside free room for long enough.
-constexpr double kReserveLeases = 2;
-// A gang whose reservation has expired waits for this part of the time limit before it reserves
-// again, so that others have their context.
-constexpr double kRetryAfterExpiry = 1.0 / 4;
-
-// One pass over the waiting jobs, most important first.
+// For how many lease durations a waiting job is denied capacity that is reserved for expected
+// arrivals of a higher-priority class. The limit keeps jobs from waiting indefinitely while
+// machines are idle.
+constexpr double kMaxReserveWaitLeases = 2;
+// A gang whose reservation has expired waits for this fraction of the reservation limit before it
+// reserves again, so that other jobs can be placed first.
+constexpr double kRetryDelayRatio = 1.0 / 4;
+
+// One pass over the waiting jobs in queue order.
 class SchedulingCycle {
  public:
   SchedulingCycle(ClusterState& cluster, GangReservations& reservations, Seconds now,
@@ -33,8 +34,9 @@
     const auto jobs = order_jobs(view_.cluster(), now_, limits_.start_bound_s);
     for (size_t i = 0; i < jobs.size(); ++i) {
       Job& job = *jobs[i];
-      // Urgent work comes first in every cycle, so that its claims stand and what arrives
-      // meanwhile does not queue behind the rest; that goes on where the last cycle stopped.
+      // Urgent jobs are considered in every cycle, so that their claims on capacity are renewed and
+      // new urgent jobs do not wait behind the rest. The other jobs resume where the previous cycle
+      // ran out of time.
       const bool urgent = job.spec.priority <= protocol::Priority::high;
       if (i < limits_.start_at && !urgent) continue;
       if (i > limits_.start_at && !urgent && limits_.out_of_time()) {
@@ -49,18 +51,18 @@
   }
 
  private:
-  // How a job is scheduled in this cycle.
+  // The parameters for scheduling one job in this cycle.
   struct JobContext {
     Job& job;
     Aging aging;
     PlacementPolicy policy;
-    std::uint32_t tasks_allowed;  // by the limit of its team
+    std::uint32_t tasks_allowed;  // by its team's limit
   };
 
   void schedule(Job& job) {
     const Aging aging = aging_of(view_.cluster(), job, now_, limits_.start_bound_s);
-    const bool low = job.spec.priority == protocol::Priority::low;
-    if (limits_.defers_low && low && aging == Aging::none) return;
+    const bool low_priority = job.spec.priority == protocol::Priority::low;
+    if (limits_.defers_low && low_priority && aging == Aging::none) return;
     const PlacementPolicy policy = policy_of(job, aging);
     const auto reserves_from =
         policy.ignores_reserves ? protocol::Priority::production : policy.priority;
@@ -81,17 +83,18 @@
   }
 
   PlacementPolicy policy_of(const Job& job, Aging aging) const {
-    const Seconds waits_since = std::max(job.submitted, job.last_placed_at);
+    const Seconds waiting_since = std::max(job.submitted, job.last_placed_at);
     const Seconds lease = view_.cluster().settings().lease_s;
     PlacementPolicy out;
     out.priority = aged_priority(job, aging);
-    out.ignores_reserves = aging != Aging::none || now_ - waits_since > lease * kReserveLeases;
+    out.ignores_reserves =
+        aging != Aging::none || now_ - waiting_since > lease * kMaxReserveWaitLeases;
     return out;
   }
 
   void preempt_for(const Job& job) {
     const auto rights = preemptor_.rights_of(job);
-    if (rights.any()) preemptor_.make_room(job, rights, plan_.preemptions);
+    if (rights.any()) preemptor_.free_capacity(job, rights, plan_.preemptions);
   }
 
   UnschedulableNeed need_of(const Job& job) const {
@@ -107,8 +110,8 @@
     });
   }
 
-  void note_unschedulable(const JobContext& context) {
-    // What is bound to zones says nothing of others.
+  void record_unschedulable(const JobContext& context) {
+    // A job with zone constraints may fail where jobs without them would fit.
     if (context.job.spec.one_zone || context.job.spec.spread) return;
     unschedulable_.push_back({need_of(context.job), context.policy.ignores_reserves});
   }
@@ -117,18 +120,19 @@
     const Job& job = context.job;
     const GangReservations::Reservation* own = reservations_.find(job.id());
     if (context.tasks_allowed == 0 || (own == nullptr && is_unschedulable(context))) return;
-    // A job ages in order to begin: one task of an array will do, and the rest of it keeps its
-    // place. Of one that fails everywhere one task shows whether that is still so.
-    const bool one_task = context.aging != Aging::none || job.fails_everywhere();
+    // Aging only ensures that a job starts, so one task of an array is enough; the others keep
+    // their place in the queue. For a job that fails on every machine, one task is enough to tell
+    // whether it still fails.
+    const bool single_task = context.aging != Aging::none || job.fails_everywhere();
     const auto tasks =
-        ready_tasks(view_.cluster(), job, one_task ? 1 : context.tasks_allowed, now_);
-    // What is reserved for replicas that migrate from another machine is for them.
+        ready_tasks(view_.cluster(), job, single_task ? 1 : context.tasks_allowed, now_);
+    // Capacity reserved for the job's migrating replicas is available to the job itself.
     if (own != nullptr) {
       view_.free_reserved(*own);
       reservations_.release(job.id());
     }
     const Choice choice = chooser_.choose(job, tasks, context.policy);
-    if (choice.size() < tasks.size()) note_unschedulable(context);
+    if (choice.size() < tasks.size()) record_unschedulable(context);
     assign(choice, out);
   }
 
@@ -136,23 +140,25 @@
     for (const auto& [machine, task] : choice) out.tasks.emplace_back(task, machine->machine->name);
   }
 
-  // All members of a gang are placed in one cycle, or none is.
+  // Places all members of a gang in one cycle, or none.
   void place_gang(const JobContext& context, Assignment& out) {
     const Job& job = context.job;
     const std::uint32_t wanted = job.waiting();
-    // All its tasks are recorded at once, or none: its records are laid out anew first.
+    // All placements of a gang are recorded together. A gang with oversized shards therefore waits
+    // until its records have been laid out again.
     if (wanted == 0 || view_.cluster().has_oversized_shards(job)) return;
     const bool aged = context.aging != Aging::none;
     if (wanted > context.tasks_allowed) {
-      // Others of its team must not take for ever, piece by piece, what it needs at once.
+      // Without this, smaller jobs of the team could keep taking the quota as it becomes free, and
+      // the gang, which needs all of it at once, would starve.
       if (aged && !preemptor_.may_preempt_lower(job)) view_.take_quota(job, wanted);
       return;
     }
     const GangReservations::Reservation* own = reservations_.find(job.id());
     if (own == nullptr && is_unschedulable(context)) return;
-    // Its own reservation counts as room for it alone.
+    // The gang's own reservation is available to it alone.
     if (own != nullptr) view_.free_reserved(*own);
-    // One that has waited long keeps what it has found.
+    // An aged gang has its reservation extended in every cycle.
     const Seconds expires =
         own != nullptr && !aged ? own->expires : now_ + limits_.reservation_limit_s;
     const auto tasks = ready_tasks(view_.cluster(), job, wanted, now_);
@@ -162,12 +168,12 @@
       assign(choice, out);
       return;
     }
-    if (choice.empty()) note_unschedulable(context);
+    if (choice.empty()) record_unschedulable(context);
     reserve_or_release(job, choice, expires);
   }
 
-  // Only the foremost gang that lacks room reserves what it has found: two gangs can then never
-  // block each other with half of what each needs, and what is reserved is for one.
+  // Only the first gang in the queue that does not fit reserves what it has found. Two gangs can
+  // then never block each other by each holding half of what they need.
   void reserve_or_release(const Job& job, const Choice& choice, Seconds expires) {
     if (gang_has_reserved_ || choice.empty()) {
       chooser_.release(job, choice);
@@ -181,7 +187,8 @@
     reservations_.reserve(job.id(), needs_of(job.spec), machine.machine->name, 1, expires);
   }
 
-  // Stops replicas on machines that are about to go, once there is room for them on others.
+  // Plans the migration of replicas away from machines that are about to be lost, once there is
+  // free capacity for them on other machines.
   void migrate_replicas() {
     for (const ReplicaMigration& migration : replicas_to_migrate(view_.cluster())) {
       const Job& job = *view_.cluster().job(migration.job);
@@ -198,7 +205,7 @@
 
   struct FailedPlacement {
     UnschedulableNeed need;
-    bool ignored_reserves;  // it found no room even so
+    bool ignored_reserves;  // it failed even with access to reserved capacity
   };
 
   GangReservations& reservations_;
@@ -217,11 +224,10 @@
 Plan plan(ClusterState& cluster, GangReservations& reservations, Seconds now,
           const CycleLimits& limits) {
   for (const auto& id : reservations.expire(now)) {
-    // A gang whose reservation has expired queues again and reserves anew after the others have had
-    // their context.
+    // The gang is queued again and may reserve after a delay in which other jobs can be placed.
     Job* job = cluster.job(id);
     if (job == nullptr || !job->spec.is_gang()) continue;
-    job->retry_at = now + limits.reservation_limit_s * kRetryAfterExpiry;
+    job->retry_at = now + limits.reservation_limit_s * kRetryDelayRatio;
   }
   return SchedulingCycle(cluster, reservations, now, limits).run();
 }
--- a/src/coordination/scheduling/unschedulable_need.hpp
+++ b/src/coordination/scheduling/unschedulable_need.hpp
@@ -1,4 +1,4 @@
-/// Needs for which a scheduling cycle has found no room, so that like jobs are not tried again.
+/// Needs that a scheduling cycle could not place, so that similar jobs are not tried again.
 #pragma once
 
 #include <vector>
@@ -7,14 +7,15 @@
 
 namespace larkroad::coordination {
 
-/// A need for which no room was left in this cycle. Room only shrinks within a cycle, so whatever
-/// needs as much of the same pools, and is no more important, need not be tried.
+/// A need for which this cycle found too little capacity. Available capacity only shrinks within a
+/// cycle, so a job that needs at least as much in the same pools, at the same or a lower priority,
+/// need not be tried.
 struct UnschedulableNeed {
   std::vector<bool> allowed;  ///< by pool
   Resources need;
   protocol::Priority priority;
 
-  /// Whether there can be no room for the other need either.
+  /// Whether the other need cannot be placed either.
   bool covers(const UnschedulableNeed& other) const {
     return priority <= other.priority && other.need.fits(need) && allowed == other.allowed;
   }
--- a/src/coordination/scheduling/zone_constraints.hpp
+++ b/src/coordination/scheduling/zone_constraints.hpp
@@ -1,4 +1,4 @@
-/// Constraints on the zones of a job's tasks.
+/// Constraints on the zones in which a job's tasks may run.
 #pragma once
 
 #include <cstdint>
@@ -9,11 +9,11 @@
 
 namespace larkroad::coordination {
 
-/// How many of a job's live tasks each zone has.
+/// The number of a job's live tasks, by zone.
 using ZoneCounts = std::map<std::string, std::uint32_t>;
 
-/// The most tasks of a job that one zone may run when the job is spread over zones: half of them,
-/// rounded up, so that no loss of one zone takes them all.
+/// The most tasks of a job that may run in one zone when the job is spread over zones: half of
+/// them, rounded up, so that the loss of one zone does not stop them all.
 inline std::uint32_t max_tasks_per_zone(const protocol::JobSpec& spec) {
   return (spec.tasks + 1) / 2;
 }
