--- a/src/coordination/scheduling/preemption_search.hpp
+++ b/src/coordination/scheduling/preemption_search.hpp
@@ -1,4 +1,4 @@
-/// The search for tasks whose preemption makes room for one job.
+/// The search for tasks whose preemption frees enough capacity for one job.
 #pragma once
 
 #include <optional>
--- a/tests/capacity_timeline_test.cpp
+++ b/tests/capacity_timeline_test.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // Half of the capacity is free; the other half becomes free after 10 s. Tasks run for 20 s.
-TEST(CapacityTimeline, FreeCapacityStartsAtOnceAndUsedCapacityAsItsTasksEnd) {
+TEST(CapacityTimeline, FreeCapacityIsUsableAtOnceAndUsedCapacityAsItsTasksEnd) {
   CapacityTimeline timeline;
   timeline.add(0.5, 10, 20);
   timeline.finish(20);
@@ -14,20 +14,20 @@
     double time;
     double startable;
   };
-  // From a release on its capacity frees once in every run: 0.5 / 20 s is 0.025 a second.
+  // After a release, its capacity becomes free once per run time: 0.5 / 20 s is 0.025 per second.
   for (const Case& c : {Case{-1, 0}, Case{0, 0.5}, Case{4, 0.6}, Case{10, 1.25}, Case{30, 2.25}}) {
     EXPECT_NEAR(timeline.startable_within(c.time), c.startable, 1e-9) << c.time;
   }
 }
 
-TEST(CapacityTimeline, NothingRunsInAnEmptyCapacity) {
+TEST(CapacityTimeline, UnusedCapacityIsEntirelyFree) {
   CapacityTimeline timeline;
   timeline.finish(50);
   EXPECT_NEAR(timeline.startable_within(0), 1, 1e-9);
   EXPECT_NEAR(timeline.startable_within(25), 1.5, 1e-9);
 }
 
-// A limit that has been reduced below what is used: nothing is free before tasks end.
+// A limit reduced below what is in use: nothing is free before tasks end.
 TEST(CapacityTimeline, OverusedCapacityHasNothingFree) {
   CapacityTimeline timeline;
   timeline.add(0.8, 5, 10);
--- a/tests/due_time_ranking_test.cpp
+++ b/tests/due_time_ranking_test.cpp
@@ -7,7 +7,7 @@
 namespace larkroad::coordination {
 namespace {
 
-// Jobs of one team on an empty fleet that runs a tenth of itself in each second.
+// Jobs of one team on an empty fleet, of whose capacity a tenth can be started each second.
 class DueTimeRanking : public ::testing::Test {
  protected:
   DueTimeRanking() {
@@ -37,7 +37,7 @@
   std::deque<QueueEntry> entries;
 };
 
-TEST_F(DueTimeRanking, AllThatCanStartInTimeShareTheFirstRank) {
+TEST_F(DueTimeRanking, JobsThatCanStartInTimeShareTheFirstRank) {
   const QueueEntry& first = add("job-1", 0.5, {10});
   const QueueEntry& second = add("job-2", 0.5, {10});
   const QueueEntry& later = add("job-3", 0.5, {15});  // by then half the fleet is free again
@@ -48,7 +48,7 @@
   }
 }
 
-TEST_F(DueTimeRanking, TheLargestIsGivenUpAndMeetsItsNextDueTime) {
+TEST_F(DueTimeRanking, TheLargestJobIsRejectedAndMeetsItsNextDueTime) {
   const QueueEntry& small = add("job-1", 0.3, {10, 100});
   const QueueEntry& large = add("job-2", 0.6, {10, 100});
   const QueueEntry& other = add("job-3", 0.3, {10, 100});
@@ -59,7 +59,7 @@
   EXPECT_EQ(large.sort_time, 100);
 }
 
-TEST_F(DueTimeRanking, WhatCanMeetNoDueTimeComesLastByItsWork) {
+TEST_F(DueTimeRanking, JobsThatCanMeetNoDueTimeComeLastOrderedByWork) {
   const QueueEntry& on_time = add("job-1", 0.3, {100});
   const QueueEntry& late = add("job-2", 0.2, {40});
   rank(50);
@@ -68,8 +68,8 @@
   EXPECT_DOUBLE_EQ(late.sort_time, 0.2 * 10);
 }
 
-// Where the limit of a team is short, its own jobs make way, not larger ones of another team.
-TEST_F(DueTimeRanking, AShortQuotaGivesUpOnlyJobsOfItsTeam) {
+// When a team's limit is exceeded, its own jobs are rejected, not larger jobs of another team.
+TEST_F(DueTimeRanking, AnExceededQuotaRejectsOnlyJobsOfItsTeam) {
   QueueEntry& blue = add("job-1", 0.8, {10});
   blue.job->spec.team = "blue";
   capacity.quotas["blue"].finish(10);
--- a/tests/gang_scheduling_test.cpp
+++ b/tests/gang_scheduling_test.cpp
@@ -1,4 +1,4 @@
-// Gangs start whole or not at all; reservations for them are bounded.
+// Gangs start as a whole or not at all; their reservations are limited in time.
 #include "scheduler_fixture.hpp"
 
 namespace larkroad::coordination {
@@ -12,7 +12,7 @@
   gang.shape = protocol::Shape::gang;
   testing::add_job(cluster, gang);
   EXPECT_TRUE(run_cycle().assignments.empty());
-  // It reserves the capacity that it has found, and no other job gets it.
+  // The gang reserves the capacity that it has found, so that no other job gets it.
   ASSERT_NE(reservations.find("job-1"), nullptr);
   testing::add_job(cluster, testing::spec("job-2"), 5);
   EXPECT_TRUE(run_cycle(101).assignments.empty());
@@ -22,7 +22,7 @@
   EXPECT_EQ(reservations.find("job-1"), nullptr);
 }
 
-TEST_F(GangSchedulingTest, EndsReservationsAtTheirLimitAndQueuesTheGangAgain) {
+TEST_F(GangSchedulingTest, ExpiresReservationsAndQueuesTheGangAgain) {
   testing::add_machine(cluster, "i-1", "small");
   auto gang = testing::spec("job-1", 4);
   gang.shape = protocol::Shape::gang;
@@ -51,7 +51,8 @@
   EXPECT_EQ(placed_tasks(run_cycle(101), "job-1"), 6u);
 }
 
-// Found in a simulated run: some tasks of a gang done, the others lost with their machines.
+// Guards against a gang that remains in the aborting state when some of its tasks are done and the
+// others were lost with their machines, as seen in a simulated run.
 TEST_F(GangSchedulingTest, EndsTheAttemptWithTheLastTask) {
   auto spec = testing::spec("job-1", 2);
   spec.shape = protocol::Shape::gang;
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -1,4 +1,4 @@
-// Which machines tasks are placed on, and what one scheduling cycle costs.
+// The choice of machines for tasks, and the cost of a scheduling cycle.
 #include "scheduler_fixture.hpp"
 
 namespace larkroad::coordination {
@@ -17,8 +17,8 @@
   EXPECT_EQ(placed_tasks(run_cycle(), "job-1"), 1u);
 }
 
-// The cost of a cycle, by counted work: waiting jobs look at capacity that has become free, and do
-// not go through a full fleet each.
+// The cost of a cycle, in machines considered: waiting jobs look only at machines with free
+// capacity, instead of each going through a full fleet.
 TEST_F(PlacementTest, CycleCostGrowsWithFreeCapacityNotMachinesTimesJobs) {
   constexpr int kMachines = 2000;
   constexpr int kJobs = 1000;
@@ -43,7 +43,7 @@
   const Plan one_free = run_cycle();
   EXPECT_EQ(one_free.assignments.size(), 1u);
   EXPECT_LE(one_free.machines_considered, 2u * kJobs);
-  // Urgent work that finds nothing looks for victims: once for its kind, not once for each job.
+  // Urgent jobs that do not fit search for victims once per distinct need, not once per job.
   for (int i = 1; i <= kJobs; ++i)
     cluster.job("job-" + std::to_string(i))->spec.priority = protocol::Priority::production;
   filler.spec.priority = protocol::Priority::production;
@@ -56,7 +56,7 @@
   testing::add_job(cluster, testing::spec("job-2", 100), 2);
   const Plan plan = run_cycle_and_place();
   EXPECT_EQ(placed_tasks(plan, "job-1") + placed_tasks(plan, "job-2"),
-            16u);  // 32 CPUs at most, 2 each
+            16u);  // the limit is 32 CPUs, and each task needs 2
   EXPECT_TRUE(run_cycle().assignments.empty());
 }
 
@@ -69,13 +69,14 @@
     void (*change)(protocol::JobSpec&);
     size_t placed;
   } cases[] = {
-      {"anything goes", "small", "west", false, [](protocol::JobSpec&) {}, 1},
+      {"no constraints", "small", "west", false, [](protocol::JobSpec&) {}, 1},
       {"spot, not allowed", "small", "west", true, [](protocol::JobSpec&) {}, 0},
       {"spot, allowed", "small", "west", true, [](protocol::JobSpec& spec) { spec.spot = true; },
        1},
       {"another zone", "small", "west", false, [](protocol::JobSpec& spec) { spec.zone = "east"; },
        0},
-      {"its zone", "small", "east", false, [](protocol::JobSpec& spec) { spec.zone = "east"; }, 1},
+      {"the requested zone", "small", "east", false,
+       [](protocol::JobSpec& spec) { spec.zone = "east"; }, 1},
       {"another type", "small", "east", false,
        [](protocol::JobSpec& spec) { spec.types = {{"large"}}; }, 0},
       {"too large", "small", "east", false, [](protocol::JobSpec& spec) { spec.cpus = 5; }, 0},
@@ -95,13 +96,13 @@
     const char* what;
     void (*change)(Machine&);
   } cases[] = {
-      {"has not reported", [](Machine& machine) { machine.has_reported = false; }},
+      {"has sent no heartbeat yet", [](Machine& machine) { machine.has_reported = false; }},
       {"lease expired", [](Machine& machine) { machine.lease_expired = true; }},
       {"being released", [](Machine& machine) { machine.being_released = true; }},
       {"to be reclaimed", [](Machine& machine) { machine.reclaimed_at = 105; }},
       {"fails every task", [](Machine& machine) { machine.quarantined = true; }},
       {"refused a launch", [](Machine& machine) { machine.refused_until = 101; }},
-      // It answers calls, but its own heartbeats have stopped for more than half a lease of 12 s.
+      // It answers calls, but has sent no heartbeat for more than half its lease of 12 s.
       {"sends no heartbeats", [](Machine& machine) { machine.last_worker_heartbeat_at = 93.9; }},
   };
   for (const auto& test_case : cases) {
@@ -113,7 +114,7 @@
   cluster.clear();
   testing::add_machine(cluster, "i-1", "small").last_worker_heartbeat_at = 94.1;
   testing::add_job(cluster, testing::spec("job-1"));
-  EXPECT_EQ(placed_tasks(run_cycle(), "job-1"), 1u) << "a heartbeat that is late for a moment";
+  EXPECT_EQ(placed_tasks(run_cycle(), "job-1"), 1u) << "heartbeat only slightly late";
 }
 
 TEST_F(PlacementTest, KeepsOneZoneAndSpreadConstraints) {
@@ -126,10 +127,10 @@
   const Plan plan = run_cycle_and_place();
   ASSERT_EQ(placed_tasks(plan, "job-1"), 4u);
   for (const auto& [task, machine] : plan.assignments[0].tasks) EXPECT_NE(machine, "i-1");
-  // Tasks of an old attempt keep the job in their zone until they are gone.
+  // A task of an earlier attempt keeps the job in its zone until it has ended.
   for (std::uint32_t task = 1; task < 4; ++task) cluster.unplace(job, task, 101);
-  auto* blocked = &testing::add_machine(cluster, "i-2", "small", "west");
-  blocked->lease_expired = true;
+  auto* unavailable = &testing::add_machine(cluster, "i-2", "small", "west");
+  unavailable->lease_expired = true;
   const Plan again = run_cycle();
   for (const auto& [task, machine] : again.assignments[0].tasks) EXPECT_EQ(machine, "i-3");
 
@@ -178,7 +179,8 @@
   EXPECT_EQ(second.assignments[0].job, "job-2");
 }
 
-// An overloaded leader defers work of low priority, but not beyond the bound on starts.
+// An overloaded leader defers low-priority jobs, but only until they age, so that they still start
+// within the start bound.
 TEST_F(PlacementTest, DefersLowPriorityWorkWhileOverloaded) {
   limits.start_bound_s = 240;
   limits.defers_low = true;
@@ -194,25 +196,25 @@
   EXPECT_EQ(placed_tasks(run_cycle(10), "job-1"), 1u);
 }
 
-// A job with a mistake: after it has failed on several machines only one of its tasks is tried at a
-// time; before that its tasks go to another machine.
+// A faulty job: after failures on one machine its tasks are placed on another. Once it has failed
+// on several machines, only one of its tasks is tried at a time.
 TEST_F(PlacementTest, TriesOneTaskOfAJobThatFailsEverywhere) {
   testing::add_machine(cluster, "i-1", "large");
   testing::add_machine(cluster, "i-2", "large");
   Job& job = testing::add_job(cluster, testing::spec("job-1", 8, 1));
   job.failed_machines = {"i-1"};
-  const Plan twice = run_cycle();
-  ASSERT_EQ(placed_tasks(twice, "job-1"), 8u);
-  for (const auto& [task, machine] : twice.assignments[0].tasks) EXPECT_EQ(machine, "i-2");
+  const Plan retry = run_cycle();
+  ASSERT_EQ(placed_tasks(retry, "job-1"), 8u);
+  for (const auto& [task, machine] : retry.assignments[0].tasks) EXPECT_EQ(machine, "i-2");
   job.failed_machines = {"i-1", "i-2", "i-3"};
   EXPECT_TRUE(job.fails_everywhere());
   EXPECT_EQ(placed_tasks(run_cycle_and_place(), "job-1"), 1u);
-  cluster.finish(job, 0, 101);  // one succeeds after all
+  cluster.finish(job, 0, 101);  // one task succeeds
   EXPECT_EQ(placed_tasks(run_cycle(), "job-1"), 7u);
 }
 
-// A new leader does not know the zone of a machine that has not sent a heartbeat yet. Found in a
-// simulated run as a job with more than half of its tasks in one zone.
+// A new leader does not know the zone of a machine that has not sent a heartbeat yet. A simulated
+// run had placed more than half of a spread job's tasks in one zone for this reason.
 TEST_F(PlacementTest, PlacesNothingThatDependsOnAnUnknownZone) {
   for (const bool spread : {false, true}) {
     cluster.clear();
@@ -229,8 +231,9 @@
   }
 }
 
-// Capacity that is reserved for what may come of an urgent class is kept from other work for two
-// leases of 12 s at most: work of low priority waited for minutes beside idle machines.
+// Capacity reserved for expected arrivals of an urgent class is withheld from other jobs for at
+// most two leases of 12 s. Without the limit, low-priority jobs waited for minutes while machines
+// were idle.
 TEST_F(PlacementTest, LimitsHowLongReservedCapacityKeepsWorkWaiting) {
   settings.objectives = {{"wait", "short", 1, 0.9, 1}};
   testing::add_machine(cluster, "i-1", "small");
--- a/tests/queue_order_test.cpp
+++ b/tests/queue_order_test.cpp
@@ -1,4 +1,4 @@
-// In which order jobs are considered: objectives, aging, priorities, quotas.
+// The order in which jobs are scheduled: objectives, aging, priorities, quotas.
 #include "scheduler_fixture.hpp"
 
 namespace larkroad::coordination {
@@ -6,8 +6,9 @@
 
 class QueueOrderTest : public SchedulerTest {};
 
-// Which comes first when a large job and a later, small one cannot both be done in time.
-TEST_F(QueueOrderTest, PutsFirstWhatCanStillMeetItsObjective) {
+// Which job comes first when a large job and a small one submitted later cannot both be done in
+// time.
+TEST_F(QueueOrderTest, PutsJobsThatCanStillMeetTheirObjectiveFirst) {
   const struct {
     const char* what;
     double cpus, memory_gb;  // of each task
@@ -18,17 +19,17 @@
   } cases[] = {
       {"both fit", 2, 1, "red", 0.1, 8, false},
       {"CPUs are short", 8, 1, "red", 0.1, 8, true},
-      // Each team was promised the whole fleet, so that all counted as in time.
+      // Guards against counting the whole fleet for each team, which made all jobs seem on time.
       {"CPUs are short, for two teams together", 8, 1, "blue", 0.1, 8, true},
-      // Capacity was measured by CPUs, where memory was what was short.
+      // Guards against measuring capacity by CPUs alone.
       {"memory is short", 1, 32, "blue", 0.1, 8, true},
-      // Slots were counted for the run times alone, without the time to fetch the image.
+      // Guards against counting run times without the image fetch.
       {"the image takes too long", 1, 1, "blue", 12, 2, true},
   };
   for (const auto& test_case : cases) {
     cluster.clear();
     settings.objectives = {{"finished", "", 20, 0.9, 1}};
-    // The larger job lies within its team's guarantee: that alone does not put it first.
+    // The larger job is within its team's guarantee, which alone does not put it first.
     settings.teams[0].cpus = settings.teams[0].cpus_max = 100;
     testing::add_machine(cluster, "i-1", "large");
     testing::add_machine(cluster, "i-2", "large");
@@ -47,7 +48,8 @@
   }
 }
 
-// Long work without an objective came first, so that short work missed the one that it had.
+// Guards against long jobs without an objective being scheduled first, so that short jobs missed
+// theirs.
 TEST_F(QueueOrderTest, PutsJobsThatCanMeetAnObjectiveBeforeThoseWithNone) {
   settings.objectives = {{"finished", "aimed", 50, 0.9, 1}};
   testing::add_machine(cluster, "i-1", "large");
@@ -64,9 +66,9 @@
 }
 
 // A job whose image takes long to fetch must age earlier to start within the bound.
-TEST_F(QueueOrderTest, AgesEarlierByTheTimeThatTheImageTakes) {
+TEST_F(QueueOrderTest, AgesEarlierByTheImageFetchTime) {
   const struct {
-    double image_gb;  // 0.5 GB a second
+    double image_gb;  // fetched at 0.5 GB/s
     Seconds waited;
     Aging aging;
   } cases[] = {
@@ -97,7 +99,7 @@
   testing::add_job(cluster, testing::spec("job-4", 100), 0);  // beyond its team's guarantee
   std::vector<std::string> ids;
   for (const Job* job : order_jobs(cluster, 10, 0)) ids.push_back(job->id());
-  // job-4 came first and exceeds the guarantee; so do all that come after it in its team.
+  // job-4 was submitted first and exceeds the guarantee; so do all later jobs of its team.
   EXPECT_EQ(ids, (std::vector<std::string>{"job-2", "job-4", "job-1", "job-3"}));
 }
 
@@ -111,19 +113,20 @@
   EXPECT_EQ(within_guarantee(cluster), (std::set<std::string>{"job-1", "job-2", "job-4"}));
 }
 
-// A job that waits ages: first within its priority, then above it. One that has started does not.
-TEST_F(QueueOrderTest, PutsFirstWhatHasWaitedLong) {
+// A waiting job ages: it comes first within its priority, then at a higher one. A job that has
+// started does not age.
+TEST_F(QueueOrderTest, PutsJobsThatHaveWaitedLongFirst) {
   const struct {
     const char* what;
     Seconds waited;
     bool started;
     std::vector<std::string> order;
   } cases[] = {
-      {"soon", 50, false, {"job-1", "job-2", "job-3"}},
+      {"less than half of the bound", 50, false, {"job-1", "job-2", "job-3"}},
       {"half of the bound", 130, false, {"job-1", "job-2", "job-3"}},
-      {"three quarters of it", 190, false, {"job-1", "job-3", "job-2"}},
-      {"five sixths of it", 205, false, {"job-3", "job-1", "job-2"}},
-      {"five sixths, but started", 205, true, {"job-1", "job-2", "job-3"}},
+      {"three quarters of the bound", 190, false, {"job-1", "job-3", "job-2"}},
+      {"five sixths of the bound", 205, false, {"job-3", "job-1", "job-2"}},
+      {"five sixths of the bound, but started", 205, true, {"job-1", "job-2", "job-3"}},
   };
   for (const auto& test_case : cases) {
     cluster.clear();
@@ -133,7 +136,7 @@
     small.priority = protocol::Priority::low;
     small.deadline_s = 1000;
     testing::add_job(cluster, small, 1000);
-    // Larger than its team's guarantee, and hopelessly late.
+    // Larger than its team's guarantee, and certain to be late.
     auto large = testing::spec("job-3", 50);
     large.priority = protocol::Priority::low;
     large.deadline_s = 1;
--- a/tests/scheduler_fixture.hpp
+++ b/tests/scheduler_fixture.hpp
@@ -1,4 +1,5 @@
-/// Fixture of the scheduler's tests: a cluster without any I/O, and one scheduling cycle at a time.
+/// Fixture of the scheduler tests: a cluster without I/O, on which single scheduling cycles are
+/// run.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -18,7 +19,7 @@
 
   Plan run_cycle(Seconds now = 100) { return plan(cluster, reservations, now, limits); }
 
-  /// Runs a cycle and carries its assignments out, as the leader does.
+  /// Runs a cycle and applies its assignments, as the leader does.
   Plan run_cycle_and_place(Seconds now = 100) {
     Plan result = run_cycle(now);
     for (const auto& assignment : result.assignments) {
@@ -30,7 +31,7 @@
     return result;
   }
 
-  /// The job's placed tasks are reported as running.
+  /// Marks the job's placed tasks as running.
   static void mark_running(Job& job, Seconds (*since)(std::uint32_t task)) {
     for (auto& [task, placement] : job.placements) {
       placement.stage = Placement::Stage::acknowledged;
--- a/tests/service_scheduling_test.cpp
+++ b/tests/service_scheduling_test.cpp
@@ -1,4 +1,4 @@
-// Replicas of services: where they go, when they move, and room for them.
+// Placement and migration of service replicas, and capacity reserved for them.
 #include "coordination/scheduling/forecast.hpp"
 #include "scheduler_fixture.hpp"
 
@@ -16,7 +16,7 @@
   std::set<std::string> machines;
   for (const auto& [task, placement] : job.placements) machines.insert(placement.machine);
   EXPECT_EQ(machines.size(), 3u);
-  // Where that would cost the fetch of a large image they share a machine.
+  // Replicas share a machine when spreading them would require the fetch of a large image.
   cluster.find_machine("i-2")->images.clear();
   cluster.find_machine("i-3")->images.clear();
   auto& second = testing::add_job(cluster, [] {
@@ -39,7 +39,7 @@
   EXPECT_EQ(early.assignments[0].tasks.size(), 1u);
   EXPECT_EQ(early.assignments[0].tasks[0].first, 1u);
   EXPECT_EQ(placed_tasks(run_cycle(151), "job-1"), 2u);
-  // Nor is anything stopped for it.
+  // Nothing is preempted for a replica in back-off either.
   auto& lower = testing::add_job(cluster, testing::spec("job-2", 2, 2));
   job.restarts[1] = {3, 150};
   run_cycle_and_place(100);
@@ -49,8 +49,8 @@
   EXPECT_FALSE(run_cycle(151).preemptions.empty());
 }
 
-// A replica's estimated run time of 0 does not mean that it is about to end: otherwise its capacity
-// would count as free soon, and an urgent job would get none made or requested for it.
+// A replica's estimated run time of 0 does not mean that it is about to end. Otherwise its capacity
+// would count as free soon, and none would be freed or requested for an urgent job.
 TEST_F(ServiceSchedulingTest, ReplicasAreNotExpectedToEnd) {
   auto spec = testing::service("job-1", 3);
   EXPECT_GT(cluster.expected_run(spec), 1e6);
@@ -61,27 +61,27 @@
   EXPECT_TRUE(due_times(cluster, testing::add_job(cluster, testing::service("job-1", 3))).empty());
 }
 
-TEST_F(ServiceSchedulingTest, MovesAReplicaToCapacityReservedForIt) {
+TEST_F(ServiceSchedulingTest, MigratesAReplicaToCapacityReservedForIt) {
   Machine& leaving = testing::add_machine(cluster, "i-1", "small");
   auto& job = testing::add_job(cluster, testing::service("job-1", 2, 2));
   run_cycle_and_place();
   mark_running(job, [](std::uint32_t) -> Seconds { return 50; });
   leaving.reclaimed_at = 110;
-  EXPECT_TRUE(run_cycle().moves.empty()) << "nowhere to go";
+  EXPECT_TRUE(run_cycle().moves.empty()) << "no machine to migrate to";
   testing::add_machine(cluster, "i-2", "small");
   const Plan plan = run_cycle();
   ASSERT_EQ(plan.moves.size(), 2u);
-  // Other work does not get the capacity meanwhile.
+  // Other jobs do not get the capacity in the meantime.
   auto& other = testing::add_job(cluster, testing::spec("job-2", 1, 2));
   other.spec.priority = protocol::Priority::high;
   for (auto& [task, placement] : job.placements) placement.stopping = true;
   EXPECT_EQ(placed_tasks(run_cycle(), "job-2"), 0u);
-  // The replica does once it has ended.
+  // The replica gets it once it has ended on its old machine.
   cluster.unplace(job, 0, 101);
   EXPECT_EQ(placed_tasks(run_cycle(101), "job-1"), 1u);
 }
 
-TEST_F(ServiceSchedulingTest, AMovingReplicaDoesNotCountAgainstItsOwnZone) {
+TEST_F(ServiceSchedulingTest, AMigratingReplicaDoesNotCountAgainstItsOwnZone) {
   Machine& leaving = testing::add_machine(cluster, "i-1", "small", "east");
   testing::add_machine(cluster, "i-2", "small", "west");
   auto spec = testing::service("job-1", 2, 2);
@@ -96,8 +96,8 @@
   EXPECT_EQ(run_cycle().moves.size(), 1u);
 }
 
-// Capacity for what may come, and for the replicas of a machine that may be lost, is reserved for
-// services whose objectives leave no time to boot a machine.
+// For services whose objectives leave no time to boot a machine, capacity is reserved for expected
+// arrivals and for the replicas of one machine that may be lost.
 TEST_F(ServiceSchedulingTest, ForecastsCapacityForReplicas) {
   settings.objectives.push_back({"up", "serving", 0, 5, 0.99, 1});
   Machine& machine = testing::add_machine(cluster, "i-1", "large");
@@ -106,7 +106,7 @@
   for (std::uint32_t task = 0; task < 3; ++task) cluster.place(job, task, machine, 1, 0);
   const auto expected = forecast(cluster, 0);
   ASSERT_EQ(expected.size(), 1u);
-  EXPECT_GE(expected[0].missing(), 3) << "as many as one machine has";
+  EXPECT_GE(expected[0].missing(), 3) << "at least the replicas of one machine";
   EXPECT_LT(expected[0].missing(), 10);
   settings.objectives.clear();
   EXPECT_TRUE(forecast(cluster, 0).empty());
