--- a/src/coordination/scheduling/forecast.cpp
+++ b/src/coordination/scheduling/forecast.cpp
@@ -33,8 +33,8 @@
 }
 
 // The time over which arrivals accumulate into the demand of the class. Tasks that end by
-// themselves free their capacity after their run time. Replicas stay, so capacity is needed for
-// those that arrive while another machine boots.
+// themselves free on average the capacity that later ones need. Replicas stay, so capacity is
+// needed for those that arrive while another machine boots.
 Seconds occupancy_time(const ClusterState& cluster, const ClassStatistics& statistics,
                        Seconds new_machine_start) {
   if (statistics.latest.is_service()) return new_machine_start;
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -9,7 +9,8 @@
 namespace larkroad::coordination {
 namespace {
 
-// Whether more than half the time from the job's submission to its next due start has passed.
+// Whether the job has waited for more than half the time from its submission to the latest start
+// for its next due time.
 bool is_past_half_of_wait(const ClusterState& cluster, const Job& job, Seconds now) {
   const auto start_by = next_start_by(cluster, job, now);
   return start_by && now - job.submitted > (*start_by - job.submitted) / 2;
--- a/src/coordination/scheduling/preemption.hpp
+++ b/src/coordination/scheduling/preemption.hpp
@@ -32,9 +32,9 @@
   /// A job within its team's guarantee may preempt what other teams run beyond their guarantees at
   /// once, without first waiting for it to end.
   PreemptionRights rights_of(const Job& job);
-  /// Whether the job may preempt tasks of lower priority. A job of normal priority may not until
-  /// half the time that remained from its submission to its next due start has passed, as capacity
-  /// may become free by then without preemption.
+  /// Whether the job may preempt tasks of lower priority. A job of normal priority must first wait
+  /// for half the time between its submission and the latest start for its next due time, as
+  /// capacity may become free without preemption.
   bool may_preempt_lower(const Job& job) const;
 
   /// Preempts less important tasks if that frees enough capacity for a job that did not fit, and
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -173,7 +173,8 @@
   }
 
   // Only the first gang in the queue that does not fit reserves what it has found. Two gangs can
-  // then never block each other by each holding half of what they need.
+  // then never block each other by each holding half of what they need, and all reserved capacity
+  // goes towards one gang.
   void reserve_or_release(const Job& job, const Choice& choice, Seconds expires) {
     if (gang_has_reserved_ || choice.empty()) {
       chooser_.release(job, choice);
