--- a/src/coordination/recovery/job_watch.cpp
+++ b/src/coordination/recovery/job_watch.cpp
@@ -11,10 +11,10 @@
 
 using storage::Status;
 
-// A call that has failed is repeated after this part of the heartbeat interval.
-constexpr double kRetryRatio = 1.0 / 10;
+// Delay before a failed request is retried, in heartbeat intervals.
+constexpr double kRetryDelayIntervals = 1.0 / 10;
 
-std::string job_of_key(const std::string& key) {
+std::string job_id_from_key(const std::string& key) {
   return key.substr(std::string_view(storage::kJobPrefix).size());
 }
 
@@ -33,7 +33,7 @@
 void JobWatch::begin_term() {
   scope_.restart();
   recovered_ = false;
-  watched_to_ = 0;
+  watched_revision_ = 0;
   finished_.clear();
 }
 
@@ -44,32 +44,32 @@
 
 void JobWatch::watch() {
   const Seconds requested_at = clock_.now();
-  store_.watch(storage::kJobPrefix, watched_to_, leadership_.view_interval(),
+  store_.watch(storage::kJobPrefix, watched_revision_, leadership_.view_interval(),
                scope_.wrap([this, requested_at](const storage::WatchReply& reply) {
-                 watch_answered(requested_at, reply);
+                 handle_watch_reply(requested_at, reply);
                }));
 }
 
-void JobWatch::watch_answered(Seconds requested_at, const storage::WatchReply& reply) {
+void JobWatch::handle_watch_reply(Seconds requested_at, const storage::WatchReply& reply) {
   if (reply.status == Status::too_old) {
-    leadership_.resign("missed changes of the jobs");
+    leadership_.resign("job watch missed changes: its revision is no longer available");
     return;
   }
   if (reply.status != Status::ok) {
-    scope_.after(settings_.heartbeat_interval_s * kRetryRatio, [this] { watch(); });
+    scope_.after(settings_.heartbeat_interval_s * kRetryDelayIntervals, [this] { watch(); });
     return;
   }
   for (const auto& event : reply.events) {
-    if (!event.deleted) apply(job_of_key(event.key), event.data, event.revision);
+    if (!event.deleted) apply(job_id_from_key(event.key), event.data, event.revision);
   }
-  watched_to_ = std::max(watched_to_, reply.revision);
-  std::erase_if(finished_, [this](const auto& entry) { return entry.second <= watched_to_; });
+  watched_revision_ = std::max(watched_revision_, reply.revision);
+  std::erase_if(finished_, [this](const auto& entry) { return entry.second <= watched_revision_; });
   leadership_.confirm_view(requested_at);
   watch();
 }
 
 void JobWatch::apply(const storage::Entry& entry) {
-  apply(job_of_key(entry.key), entry.data, entry.revision);
+  apply(job_id_from_key(entry.key), entry.data, entry.revision);
 }
 
 void JobWatch::apply(const std::string& id, const storage::Json& data, std::uint64_t revision) {
@@ -120,17 +120,19 @@
 void JobWatch::refresh(const std::string& id) {
   store_.get(storage::job_key(id),
              scope_.wrap([this, id](Status status, const storage::Entry& entry) {
-               refresh_answered(id, status, entry);
+               handle_refresh_reply(id, status, entry);
              }));
 }
 
-void JobWatch::refresh_answered(const std::string& id, Status status, const storage::Entry& entry) {
+void JobWatch::handle_refresh_reply(const std::string& id, Status status,
+                                    const storage::Entry& entry) {
   if (status == Status::missing) {
-    leadership_.resign("the record of " + id + " is missing");
+    leadership_.resign("record of job " + id + " is missing");
     return;
   }
   if (status != Status::ok) {
-    scope_.after(settings_.heartbeat_interval_s * kRetryRatio, [this, id] { refresh(id); });
+    scope_.after(settings_.heartbeat_interval_s * kRetryDelayIntervals,
+                 [this, id] { refresh(id); });
     return;
   }
   apply(id, entry.data, entry.revision);
@@ -138,7 +140,7 @@
   if (job == nullptr) return;
   job->write_in_flight = false;
   if (job->cancelled_by_peer) {
-    // The record says otherwise, and it is the record that counts.
+    // The stored record is authoritative, and it does not contain the cancellation.
     job->cancelled = false;
     job->cancelled_by_peer = false;
     callbacks_.request_plan();
--- a/src/coordination/recovery/job_watch.hpp
+++ b/src/coordination/recovery/job_watch.hpp
@@ -1,4 +1,4 @@
-/// Keeps the jobs of the cluster the same as their records.
+/// Keeps the jobs in the cluster state in sync with their records in the key-value store.
 #pragma once
 
 #include <cstdint>
@@ -14,54 +14,55 @@
 
 namespace larkroad::coordination {
 
-/// Applies the records of jobs: as they are recovered, as the key-value store's watch brings them,
-/// and when one has to be read again. Each answer of the watch proves to the election that the
-/// leader's view of the jobs is fresh.
+/// Applies job records to the cluster state: those read during recovery, those delivered by the
+/// key-value store's watch, and those read again on request. Each watch reply confirms to the
+/// election that the leader's view of the jobs is up to date.
 ///
-/// An older record never replaces a newer one, whatever way it comes; a job that this leader has
-/// finished does not come back by a watch that is behind.
+/// An older record never replaces a newer one, regardless of how it was received. A watch that lags
+/// behind does not bring back a job that this leader has finished.
 class JobWatch {
  public:
-  /// What the watch tells the rest of the leader; all are called on the event loop's thread.
+  /// Notifications to the rest of the leader; all are called on the event loop thread.
   struct Callbacks {
     std::function<void(Job&)> cancel_job;
     std::function<void(Job&)> persist;
-    /// A scheduling cycle may now find work.
+    /// Requests a scheduling cycle, as it may find work.
     std::function<void()> request_plan;
   };
 
   JobWatch(transport::Clock& clock, storage::KeyValueClient& store, Leadership& leadership,
            const Settings& settings, ClusterState& cluster, Callbacks callbacks);
 
-  /// Forgets everything of an earlier term. Until `start`, jobs are only entered into the cluster,
-  /// without a callback.
+  /// Discards all state of an earlier term. Until `set_recovered`, jobs are only added to the
+  /// cluster state and no callback is called.
   void begin_term();
-  /// Answers and timers that are under way have no effect any more.
+  /// Ends the term; outstanding replies and timers are ignored.
   void end_term();
-  /// The watch is to bring what changes after this revision.
-  void watch_from(std::uint64_t revision) { watched_to_ = revision; }
-  /// The state is recovered: changes have their effects from now on.
+  /// Sets the revision after which the watch reports changes.
+  void watch_from(std::uint64_t revision) { watched_revision_ = revision; }
+  /// Marks the state as recovered; from now on changes cause callbacks.
   void set_recovered() { recovered_ = true; }
-  /// Begins to watch.
+  /// Starts the watch.
   void start() { watch(); }
 
-  /// Enters the record of a job into the cluster, unless a newer one is known.
+  /// Applies the record of a job to the cluster state, unless a newer one is known.
   void apply(const std::string& id, const storage::Json& data, std::uint64_t revision);
-  /// The same, for a record as it was read from the store.
+  /// Applies a job record as read from the store.
   void apply(const storage::Entry& entry);
-  /// Reads the record of a job again, after which its `write_in_flight` ends and it is persisted.
+  /// Reads the record of a job again, then clears its `write_in_flight` and persists it.
   void refresh(const std::string& id);
-  /// This leader has finished the job at this revision.
+  /// Records that this leader finished the job at this revision.
   void job_finished(const std::string& id, std::uint64_t revision) { finished_[id] = revision; }
-  /// A durable cancellation, as told by the peer that made it so: the watch will bring it too, but
-  /// that may take long, and a leader that the store refuses would not learn of it in time. False
-  /// when the job is not known.
+  /// Applies a durable cancellation announced by the peer that wrote it. The watch delivers it too,
+  /// but possibly late, and a leader whose requests the store rejects would not learn of it in
+  /// time. Returns false if the job is unknown.
   bool cancelled_by_peer(const std::string& id);
 
  private:
   void watch();
-  void watch_answered(Seconds requested_at, const storage::WatchReply& reply);
-  void refresh_answered(const std::string& id, storage::Status status, const storage::Entry& entry);
+  void handle_watch_reply(Seconds requested_at, const storage::WatchReply& reply);
+  void handle_refresh_reply(const std::string& id, storage::Status status,
+                            const storage::Entry& entry);
   void apply_record(const std::string& id, const storage::JobRecord& record,
                     std::uint64_t revision);
 
@@ -71,10 +72,11 @@
   const Settings& settings_;
   ClusterState& cluster_;
   Callbacks callbacks_;
-  transport::CallbackScope scope_;  // of this term of leadership
+  transport::CallbackScope scope_;  // ends with the term of leadership
   bool recovered_ = false;
-  std::uint64_t watched_to_ = 0;                   // revision
-  std::map<std::string, std::uint64_t> finished_;  // by this leader, and at which revision
+  std::uint64_t watched_revision_ = 0;  // changes up to this revision have been applied
+  // The revisions at which this leader finished jobs, by job.
+  std::map<std::string, std::uint64_t> finished_;
 };
 
 }  // namespace larkroad::coordination
--- a/src/coordination/recovery/paged_reader.cpp
+++ b/src/coordination/recovery/paged_reader.cpp
@@ -5,11 +5,11 @@
 namespace larkroad::coordination {
 namespace {
 
-// A page that could not be read is asked for again after this part of the heartbeat interval.
-constexpr double kRetryRatio = 1.0 / 10;
-// All of a failover waits for a few pages. Behind users' questions, of which there may be many
-// times as many as usual, they once took 48 s.
-constexpr storage::RequestPriority kPriority = storage::RequestPriority::lease;
+// Delay before a failed page request is retried, in heartbeat intervals.
+constexpr double kRetryDelayIntervals = 1.0 / 10;
+// Failover blocks on these few pages, so they take precedence over user queries. Queued behind a
+// surge of user queries they took 48 s.
+constexpr storage::RequestPriority kReadPriority = storage::RequestPriority::lease;
 
 }  // namespace
 
@@ -21,19 +21,19 @@
   request_page({prefix, std::move(on_page), std::move(on_complete)}, "");
 }
 
-void PagedReader::request_page(const Read& read, const std::string& after) {
+void PagedReader::request_page(const Read& read, const std::string& after_key) {
   const Seconds requested_at = clock_.now();
-  store_.list(read.prefix, after,
-              scope_.wrap([this, read, after, requested_at](storage::ListReply reply) {
-                page_answered(read, after, {std::move(reply), requested_at});
+  store_.list(read.prefix, after_key,
+              scope_.wrap([this, read, after_key, requested_at](storage::ListReply reply) {
+                handle_page_reply(read, after_key, {std::move(reply), requested_at});
               }),
-              kPriority);
+              kReadPriority);
 }
 
-void PagedReader::page_answered(const Read& read, const std::string& after, Page page) {
+void PagedReader::handle_page_reply(const Read& read, const std::string& after_key, Page page) {
   if (page.reply.status != storage::Status::ok) {
-    scope_.after(settings_.heartbeat_interval_s * kRetryRatio,
-                 [this, read, after] { request_page(read, after); });
+    scope_.after(settings_.heartbeat_interval_s * kRetryDelayIntervals,
+                 [this, read, after_key] { request_page(read, after_key); });
     return;
   }
   const bool more = page.reply.more && !page.reply.entries.empty();
--- a/src/coordination/recovery/paged_reader.hpp
+++ b/src/coordination/recovery/paged_reader.hpp
@@ -1,4 +1,4 @@
-/// Reads all records under a prefix, page by page.
+/// Reads all records under a key prefix, page by page.
 #pragma once
 
 #include <functional>
@@ -12,24 +12,24 @@
 
 using transport::Seconds;
 
-/// Reads the key-value store's pages one after the other and repeats what has failed until it is
-/// answered. Several reads may be under way at a time. Ends them all when it is destroyed.
+/// Requests pages of the key-value store one after another and retries failed requests until they
+/// succeed. Several reads may be in progress at a time. The destructor cancels all of them.
 class PagedReader {
  public:
-  /// One page that has been read.
+  /// One page of entries.
   struct Page {
     storage::ListReply reply;
-    Seconds requested_at = 0;  ///< when the call was sent that was answered
+    Seconds requested_at = 0;  ///< when the successful request was sent
   };
   using OnPage = std::function<void(Page&)>;
   using OnComplete = std::function<void()>;
 
   PagedReader(transport::Clock& clock, storage::KeyValueClient& store, const Settings& settings);
 
-  /// Ends all reads; neither of their callbacks is called any more.
+  /// Cancels all reads; their callbacks are not called any more.
   void cancel() { scope_.restart(); }
 
-  /// Calls `on_page` for each page in the order of the keys, and then `on_complete`.
+  /// Calls `on_page` for each page in key order, then `on_complete`.
   void read(const std::string& prefix, OnPage on_page, OnComplete on_complete);
 
  private:
@@ -39,8 +39,8 @@
     OnComplete on_complete;
   };
 
-  void request_page(const Read& read, const std::string& after);
-  void page_answered(const Read& read, const std::string& after, Page page);
+  void request_page(const Read& read, const std::string& after_key);
+  void handle_page_reply(const Read& read, const std::string& after_key, Page page);
 
   transport::Clock& clock_;
   storage::KeyValueClient& store_;
--- a/src/coordination/recovery/state_recovery.hpp
+++ b/src/coordination/recovery/state_recovery.hpp
@@ -1,4 +1,4 @@
-/// Recovers the cluster's state from the records when a controller becomes the leader.
+/// Rebuilds the cluster state from the stored records when a controller becomes the leader.
 #pragma once
 
 #include <cstdint>
@@ -17,33 +17,33 @@
 
 namespace larkroad::coordination {
 
-/// What is known once all records have been read, beside what the cluster holds.
+/// Result of the recovery that is not part of the cluster state.
 struct RecoveredState {
   std::map<std::string, storage::Images> images;  ///< by machine
   size_t placed_tasks = 0;
-  Seconds jobs_requested_at = 0;  ///< the jobs are known as of this time
+  Seconds jobs_requested_at = 0;  ///< the view of the jobs is valid as of this time
 };
 
-/// Reads the jobs, then the placements, then the images of machines, and puts the placements into
-/// the cluster. Placement records of jobs that have finished go to the garbage collector. A
-/// placement record that cannot be read ends the term: without it a task could run twice.
+/// Reads the jobs, then the placements, then the cached images of machines, and adds the placements
+/// to the cluster state. Placement records of finished jobs are passed to the garbage collector. An
+/// invalid placement record ends the term, as ignoring it could make a task run twice.
 class StateRecovery {
  public:
   struct Callbacks {
-    /// A job's record, in the order of the keys.
+    /// Called for each job record, in key order.
     std::function<void(const storage::Entry&)> apply_job;
-    /// The first page of the jobs: changes after this revision are in the watch.
+    /// Called with the revision of the first page of jobs; the watch must report later changes.
     std::function<void(std::uint64_t revision)> watch_from;
-    /// All records have been read, and the cluster holds what they say.
+    /// Called when all records have been read and applied to the cluster state.
     std::function<void(RecoveredState)> recovered;
   };
 
   StateRecovery(transport::Clock& clock, storage::KeyValueClient& store, Leadership& leadership,
-                const Settings& settings, ClusterState& cluster, GarbageCollector& garbage,
-                Callbacks callbacks);
+                const Settings& settings, ClusterState& cluster,
+                GarbageCollector& garbage_collector, Callbacks callbacks);
 
-  /// Begins to read, in a term of leadership that began at that time; ends what an earlier term was
-  /// reading.
+  /// Starts reading for a term of leadership that began at `term_began_at`; cancels the reads of an
+  /// earlier term.
   void start(Seconds term_began_at);
   void end_term() { reader_.cancel(); }
 
@@ -62,13 +62,13 @@
   transport::Clock& clock_;
   Leadership& leadership_;
   ClusterState& cluster_;
-  GarbageCollector& garbage_;
+  GarbageCollector& garbage_collector_;
   Callbacks callbacks_;
   PagedReader reader_;
   Seconds term_began_at_ = 0;
-  std::uint64_t jobs_revision_ = 0;  // of the first page of the jobs; 0: not yet read
-  std::vector<storage::Entry> placements_;
-  RecoveredState state_;
+  std::uint64_t jobs_revision_ = 0;  // of the first page of jobs; 0: not read yet
+  std::vector<storage::Entry> placement_entries_;
+  RecoveredState recovered_state_;
 };
 
 }  // namespace larkroad::coordination
