--- a/src/coordination/workers/command_dispatcher.cpp
+++ b/src/coordination/workers/command_dispatcher.cpp
@@ -9,22 +9,22 @@
 using protocol::CommandType;
 using transport::Outcome;
 
-// A worker waits 4 s for the answer to a heartbeat; a call to it waits as long, in heartbeat
-// intervals.
+// Timeout of a call to a worker, in heartbeat intervals. Equal to the 4 s that a worker waits for
+// the response to a heartbeat.
 constexpr double kCallTimeoutIntervals = 1.5;
-// Commands for one machine are gathered for this part of the heartbeat interval. Each call costs
-// the leader as much as a heartbeat, and room for one job is often made by stopping a dozen tasks
-// of a machine.
-constexpr double kGatherIntervals = 1.0 / 200;
-// The fencing token is raised at most once in this part of a lease.
-constexpr double kFencingLeases = 1.0 / 4;
+// Commands for one machine are batched for this long, in heartbeat intervals. Each call costs the
+// leader as much as a heartbeat, and a preemption for one job often stops a dozen tasks on the same
+// machine.
+constexpr double kBatchDelayIntervals = 1.0 / 200;
+// Minimum time between two increases of the fencing token, in lease durations.
+constexpr double kMinFencingPeriodLeases = 1.0 / 4;
 
 constexpr int kStatusOk = 200;
 constexpr int kStatusBadRequest = 400;
 constexpr int kStatusConflict = 409;
 
-// Whether a call has taken effect or never will, so that no launch of it is still under way.
-bool is_resolved(Outcome outcome, int status) {
+// Whether the call has taken effect or never will, so that none of its launches is in transit.
+bool is_outcome_known(Outcome outcome, int status) {
   if (outcome == Outcome::not_sent) return true;
   if (outcome != Outcome::answered) return false;
   return status == kStatusOk || status == kStatusConflict || status == kStatusBadRequest;
@@ -47,7 +47,7 @@
   queued_commands_.clear();
   sending_scheduled_ = false;
   fencing_required_ = false;
-  fenced_at_ = clock_.now();
+  fencing_token_raised_at_ = clock_.now();
 }
 
 void CommandDispatcher::launch(Job& job, const std::vector<std::uint32_t>& tasks) {
@@ -57,7 +57,7 @@
     Machine* machine = cluster_.find_machine(placement.machine);
     if (machine == nullptr || machine->incarnation != placement.incarnation ||
         machine->lease_expired) {
-      // Its incarnation ended while the record was written; nothing was sent.
+      // The incarnation ended while the placement record was written; no command was sent.
       cluster_.unplace(job, task, clock_.now());
       callbacks_.request_plan();
       continue;
@@ -77,23 +77,23 @@
   queued.commands.insert(queued.commands.end(), commands.begin(), commands.end());
   if (sending_scheduled_) return;
   sending_scheduled_ = true;
-  scope_.after(settings_.heartbeat_interval_s * kGatherIntervals, [this] {
+  scope_.after(settings_.heartbeat_interval_s * kBatchDelayIntervals, [this] {
     sending_scheduled_ = false;
     send_queued();
   });
 }
 
 void CommandDispatcher::send_queued() {
-  const auto queued = std::exchange(queued_commands_, {});
-  for (const auto& [machine_name, waiting] : queued) {
+  const auto queued_by_machine = std::exchange(queued_commands_, {});
+  for (const auto& [machine_name, queued] : queued_by_machine) {
     Machine* machine = cluster_.find_machine(machine_name);
-    // What was meant for an incarnation that is over must not reach the next one.
-    if (machine == nullptr || machine->incarnation != waiting.incarnation) continue;
-    Commands commands = waiting.commands;
+    // Commands for an earlier incarnation must not reach the current one.
+    if (machine == nullptr || machine->incarnation != queued.incarnation) continue;
+    Commands commands = queued.commands;
     drop_stale_launches(*machine, commands);
     for (const auto& command : commands) {
       if (command.type != CommandType::launch) continue;
-      // It goes under the present token, which may have been raised since it was queued.
+      // Sent under the current token, which may have been raised since the launch was queued.
       record_launch(*machine, {command.id, command.attempt});
     }
     if (!commands.empty()) send(*machine, commands);
@@ -106,10 +106,10 @@
   machine.direct_launches[launch] = fencing_token;
 }
 
-// Leaves out launches of tasks that have lost their placement since they were queued: they may be
-// on their way to another machine. Past its lease the leader starts nothing at all. Neither was
-// sent, so their outcome is known; a task that still has its placement is found absent later and
-// launched by the response to a heartbeat.
+// Drops launches of tasks that lost their placement after the launch was queued, as they may be
+// starting on another machine, and all launches if the leader's lease has expired. None of them was
+// sent, so their outcome is known. A task that still has its placement is later reported absent and
+// launched in the response to a heartbeat.
 void CommandDispatcher::drop_stale_launches(Machine& machine, Commands& commands) {
   for (const auto& command : commands) {
     if (!is_stale_launch(machine, command)) continue;
@@ -133,7 +133,7 @@
 }
 
 void CommandDispatcher::send(const Machine& machine, const Commands& commands) {
-  ++sent_calls_;
+  ++sent_call_count_;
   transport::Request request{
       "POST", protocol::kCommandsPath,
       protocol::encode_commands(callbacks_.fencing_token(), machine.incarnation, commands)};
@@ -153,21 +153,22 @@
   const bool answered = outcome == Outcome::answered &&
                         (response.status == kStatusOk || response.status == kStatusConflict);
   if (!answered) {
-    spdlog::debug("command unanswered machine={}", machine_name);
+    spdlog::debug("command unanswered: machine={}", machine_name);
     callbacks_.machine_unanswered(*machine);
     return;
   }
   callbacks_.machine_answered(*machine);
-  std::optional<Commands> stops = process_status(machine_name, response.body);
-  if (!stops || response.status != kStatusOk) return;
-  // Other commands that follow from this wait for the worker's own heartbeat.
-  std::erase_if(*stops, [](const Command& command) { return command.type != CommandType::kill; });
-  if (!stops->empty()) queue(machine_name, *stops);
+  std::optional<Commands> kills = process_status_reply(machine_name, response.body);
+  if (!kills || response.status != kStatusOk) return;
+  // All other resulting commands are sent in the response to the worker's next heartbeat.
+  std::erase_if(*kills, [](const Command& command) { return command.type != CommandType::kill; });
+  if (!kills->empty()) queue(machine_name, *kills);
 }
 
-// Takes in the status that a worker returned; none when it is malformed or shows a newer leader.
-std::optional<Commands> CommandDispatcher::process_status(const std::string& machine_name,
-                                                          const std::string& status) const {
+// Processes the status returned by a worker and returns the resulting commands; none if the status
+// is malformed or proves that there is a newer leader.
+std::optional<Commands> CommandDispatcher::process_status_reply(const std::string& machine_name,
+                                                                const std::string& status) const {
   try {
     const auto heartbeat = protocol::parse_heartbeat(status);
     if (heartbeat.fencing_token > callbacks_.fencing_token()) {
@@ -176,14 +177,14 @@
     }
     return callbacks_.process_heartbeat(heartbeat);
   } catch (const std::exception& error) {
-    spdlog::error("malformed status machine={} error=\"{}\"", machine_name, error.what());
+    spdlog::error("malformed status: machine={} error=\"{}\"", machine_name, error.what());
     return std::nullopt;
   }
 }
 
 void CommandDispatcher::resolve_launches(Machine& machine, const Commands& commands,
                                          Outcome outcome, int status) {
-  const bool resolved = is_resolved(outcome, status);
+  const bool resolved = is_outcome_known(outcome, status);
   for (const auto& command : commands) {
     if (command.type != CommandType::launch) continue;
     const auto launch = machine.unresolved_launches.find({command.id, command.attempt});
@@ -205,8 +206,8 @@
                  if (Machine* answering = cluster_.find_machine(machine_name)) {
                    callbacks_.machine_answered(*answering);
                  }
-                 // Commands that follow from this wait for the worker's own heartbeat.
-                 if (process_status(machine_name, response.body)) callbacks_.request_plan();
+                 // The resulting commands are sent in the response to the worker's next heartbeat.
+                 if (process_status_reply(machine_name, response.body)) callbacks_.request_plan();
                }));
 }
 
@@ -217,9 +218,9 @@
 void CommandDispatcher::raise_fencing_token_if_due() {
   if (!fencing_required_) return;
   const Seconds now = clock_.now();
-  if (now - fenced_at_ <= settings_.lease_s * kFencingLeases) return;
+  if (now - fencing_token_raised_at_ <= settings_.lease_s * kMinFencingPeriodLeases) return;
   fencing_required_ = false;
-  fenced_at_ = now;
+  fencing_token_raised_at_ = now;
   callbacks_.raise_fencing_token();
 }
 
--- a/src/coordination/workers/failure_tracker.cpp
+++ b/src/coordination/workers/failure_tracker.cpp
@@ -7,25 +7,25 @@
 namespace larkroad::coordination {
 namespace {
 
-// Tasks that fail on a machine, with none that succeeds, before it is quarantined; and the evidence
-// that the jobs of these must give together.
-constexpr int kMachineFailures = 3;
-constexpr int kQuarantineEvidence = 6;
-constexpr int kFailingJobWeight = 2;
-constexpr int kFailsEverywhereWeight = 1;
-// So many tasks in a row that fail at their start, of jobs that start on other machines, quarantine
-// a machine.
-constexpr int kFailedStarts = 2;
-// An error or a refusal keeps a job or a machine waiting for this many heartbeat intervals; twice
-// as many with each further failure, up to the longest pause.
-constexpr double kPauseIntervals = 1;
-constexpr double kLongestPauseIntervals = 16;
-constexpr int kLongestPauseFailures = 4;
-// A service's replica that has run for this many heartbeat intervals counts as a success.
-constexpr double kProvenIntervals = 4;
-// So many failures in a row of one replica may be the fault of its machines; with more it is at
-// fault itself.
-constexpr int kReplicaFailuresAsEvidence = 2;
+// A machine is quarantined after this many task failures without a success in between, if the jobs
+// of these tasks provide at least this much evidence in total.
+constexpr int kMinFailuresToQuarantine = 3;
+constexpr int kMinEvidenceToQuarantine = 6;
+constexpr int kFailingJobEvidence = 2;
+constexpr int kFailsEverywhereEvidence = 1;
+// A machine is quarantined after this many consecutive tasks failed to start on it, counting only
+// jobs that start on other machines.
+constexpr int kFailedStartsToQuarantine = 2;
+// Backoff of a job or a machine after an error or a refusal, in heartbeat intervals. That of a job
+// doubles with each further failure, up to the maximum.
+constexpr double kInitialBackoffIntervals = 1;
+constexpr double kMaxBackoffIntervals = 16;
+constexpr int kMaxBackoffDoublings = 4;
+// A service replica that has run for this many heartbeat intervals counts as a success.
+constexpr double kHealthyRunIntervals = 4;
+// Up to this many consecutive exits of a replica count as evidence against its machines; after more
+// the replica itself is considered faulty.
+constexpr int kReplicaExitsAsEvidence = 2;
 
 }  // namespace
 
@@ -44,44 +44,44 @@
 }
 
 void FailureTracker::record_failure(Machine& machine, Job& job, const Placement& placement) {
-  const bool at_its_start = placement.state == TaskState::fetching;
-  if (!at_its_start) job.started_machines.clear();
-  // A task that fails at its start, of a job whose tasks start on other machines: this machine is
-  // at fault, and the job need not wait.
-  if (at_its_start && job.started_elsewhere_than(machine.name)) {
+  const bool failed_at_start = placement.state == TaskState::fetching;
+  if (!failed_at_start) job.started_machines.clear();
+  // The task failed to start, while tasks of its job start on other machines: the machine is at
+  // fault, and the job is not backed off.
+  if (failed_at_start && job.started_elsewhere_than(machine.name)) {
     job.failed_machines.insert(machine.name);
-    if (++machine.failed_starts >= kFailedStarts) quarantine(machine);
+    if (++machine.failed_starts >= kFailedStartsToQuarantine) quarantine(machine);
     return;
   }
   if (job.spec.is_service()) {
-    // A replica that fails again and again is itself at fault, though others of its job run.
-    if (job.restarts[placement.task].ends < kReplicaFailuresAsEvidence) add_evidence(machine, job);
+    // A replica that fails repeatedly is itself faulty, even if others of its job run.
+    if (job.restarts[placement.task].ends < kReplicaExitsAsEvidence) record_evidence(machine, job);
     record_replica_exit(job, placement);
   } else {
-    add_evidence(machine, job);
+    record_evidence(machine, job);
     back_off(job);
   }
 }
 
 void FailureTracker::record_refusal(Machine& machine) {
-  machine.refused_until = clock_.now() + settings_.heartbeat_interval_s * kPauseIntervals;
+  machine.refused_until = clock_.now() + settings_.heartbeat_interval_s * kInitialBackoffIntervals;
 }
 
-// Mostly the machine is faulty. But a job that was submitted with a mistake fails wherever it runs,
-// and its failures say little of the machines. So a machine is suspected when several jobs fail on
-// it with none that succeeds, or a few tasks of one that succeeds on other machines. Jobs that fail
-// everywhere count for less, though not for nothing: where many machines are faulty, sound jobs
-// seem to be so.
-void FailureTracker::add_evidence(Machine& machine, Job& job) {
-  const bool known = job.fails_everywhere();
+// Most failures are caused by the machine. But a job that was submitted with an error fails
+// wherever it runs, and its failures say little about the machines. So a machine is quarantined
+// when several jobs fail on it without a success, or several tasks of a job that succeeds on other
+// machines. Jobs that fail everywhere provide less evidence, but not none: where many machines are
+// faulty, correct jobs appear to fail everywhere too.
+void FailureTracker::record_evidence(Machine& machine, Job& job) {
+  const bool known_to_fail_everywhere = job.fails_everywhere();
   job.failed_machines.insert(machine.name);
-  if (!known && job.fails_everywhere()) {
-    spdlog::info("job fails on every machine, retried one task at a time job={}", job.id());
+  if (!known_to_fail_everywhere && job.fails_everywhere()) {
+    spdlog::info("job fails on every machine, retrying one task at a time: job={}", job.id());
   }
   ++machine.failures;
   machine.failed_jobs.insert(job.id());
-  if (machine.failures < kMachineFailures || machine.quarantined) return;
-  if (evidence_against(machine) >= kQuarantineEvidence) quarantine(machine);
+  if (machine.failures < kMinFailuresToQuarantine || machine.quarantined) return;
+  if (evidence_against(machine) >= kMinEvidenceToQuarantine) quarantine(machine);
 }
 
 int FailureTracker::evidence_against(const Machine& machine) const {
@@ -89,21 +89,21 @@
   for (const auto& id : machine.failed_jobs) {
     const Job* job = cluster_.job(id);
     if (job == nullptr) continue;
-    if (job->succeeds_elsewhere_than(machine.name)) evidence += kQuarantineEvidence;
-    evidence += job->fails_everywhere() ? kFailsEverywhereWeight : kFailingJobWeight;
+    if (job->succeeds_elsewhere_than(machine.name)) evidence += kMinEvidenceToQuarantine;
+    evidence += job->fails_everywhere() ? kFailsEverywhereEvidence : kFailingJobEvidence;
   }
   return evidence;
 }
 
 void FailureTracker::quarantine(Machine& machine) {
   if (machine.quarantined) return;
-  spdlog::info("machine quarantined, tasks fail on it machine={}", machine.name);
+  spdlog::info("machine quarantined because tasks fail on it: machine={}", machine.name);
   machine.quarantined = true;
 }
 
 void FailureTracker::record_running_replica(Machine& machine, Job& job, Placement& replica) {
-  const Seconds runs = clock_.now() - replica.running_since;
-  if (replica.proven || runs < settings_.heartbeat_interval_s * kProvenIntervals) return;
+  const Seconds run_time = clock_.now() - replica.running_since;
+  if (replica.proven || run_time < settings_.heartbeat_interval_s * kHealthyRunIntervals) return;
   replica.proven = true;
   job.restarts.erase(replica.task);
   job.failures = 0;
@@ -113,19 +113,20 @@
 
 void FailureTracker::record_replica_exit(Job& job, const Placement& replica) {
   ReplicaRestarts& restarts = job.restarts[replica.task];
-  if (restarts.ends > 0) restarts.retry_at = clock_.now() + pause_after(restarts.ends - 1);
+  if (restarts.ends > 0) restarts.retry_at = clock_.now() + backoff_after(restarts.ends - 1);
   ++restarts.ends;
 }
 
 void FailureTracker::back_off(Job& job) {
-  job.retry_at = clock_.now() + pause_after(job.failures);
+  job.retry_at = clock_.now() + backoff_after(job.failures);
   ++job.failures;
 }
 
-// The pause after one more failure than so many in a row.
-Seconds FailureTracker::pause_after(int failures) const {
-  const double intervals = std::min(
-      kPauseIntervals * (1 << std::min(failures, kLongestPauseFailures)), kLongestPauseIntervals);
+// The backoff after a failure that follows this many consecutive failures.
+Seconds FailureTracker::backoff_after(int earlier_failures) const {
+  const double intervals =
+      std::min(kInitialBackoffIntervals * (1 << std::min(earlier_failures, kMaxBackoffDoublings)),
+               kMaxBackoffIntervals);
   return settings_.heartbeat_interval_s * intervals;
 }
 
--- a/src/coordination/workers/failure_tracker.hpp
+++ b/src/coordination/workers/failure_tracker.hpp
@@ -1,4 +1,4 @@
-/// Evidence from tasks that fail: whether their machine or their job is at fault.
+/// Determines from task failures whether the machine or the job is at fault.
 #pragma once
 
 #include "coordination/cluster_state/cluster_state.hpp"
@@ -7,38 +7,39 @@
 
 namespace larkroad::coordination {
 
-/// Counts failures of tasks, quarantines machines on which tasks fail, and backs off jobs and
-/// replicas that fail again and again.
+/// Counts task failures, quarantines machines on which tasks fail, and backs off jobs and replicas
+/// that fail repeatedly.
 ///
-/// Writes the failure counts of `Machine` and `Job`, `Machine::quarantined`, and the times before
-/// which nothing is placed: `Job::retry_at`, `ReplicaRestarts::retry_at`, `Machine::refused_until`.
-/// Has no state of its own. Called by task reconciliation with what heartbeats report.
+/// Writes the failure counts of `Machine` and `Job`, `Machine::quarantined`, and the end times of
+/// backoffs: `Job::retry_at`, `ReplicaRestarts::retry_at`, `Machine::refused_until`. Stateless.
+/// Called by task reconciliation for the tasks reported in heartbeats.
 class FailureTracker {
  public:
   FailureTracker(const transport::Clock& clock, ClusterState& cluster, const Settings& settings);
 
-  /// A task got past its start, so its image was fetched and its machine can start tasks.
+  /// Records that a task has started: its image was fetched and its machine can start tasks.
   static void record_start(Machine& machine, Job& job);
-  /// A task of an array or gang completed on this machine.
+  /// Records that a task of an array or gang has completed on this machine.
   static void record_success(Machine& machine);
-  /// A task exited with an error. To be called while its placement stands.
+  /// Records that a task exited with an error. Must be called before its placement is removed.
   void record_failure(Machine& machine, Job& job, const Placement& placement);
-  /// The worker refused a task for want of room: nothing is placed there for a moment.
+  /// Records that the worker refused a task for lack of capacity: nothing is placed on the machine
+  /// for one backoff period.
   void record_refusal(Machine& machine);
-  /// A service's replica is running. Once it has run for long enough, neither its job nor its
-  /// machine is at fault.
+  /// Records that a service replica is running. Once it has run for long enough, the failures of
+  /// its job and its machine are cleared.
   void record_running_replica(Machine& machine, Job& job, Placement& replica);
-  /// A service's replica ended by itself. It restarts at once the first time; after that it waits
-  /// in between, longer each time. The other replicas of its job are not held up.
+  /// Records that a service replica exited by itself. The first restart is immediate, later ones
+  /// are delayed with increasing backoff. Other replicas of the job are not delayed.
   void record_replica_exit(Job& job, const Placement& replica);
-  /// No task of the job is placed for a while, longer with each failure in a row.
+  /// Delays placement of all tasks of the job, longer after each consecutive failure.
   void back_off(Job& job);
 
  private:
-  void add_evidence(Machine& machine, Job& job);
+  void record_evidence(Machine& machine, Job& job);
   int evidence_against(const Machine& machine) const;
   static void quarantine(Machine& machine);
-  Seconds pause_after(int failures) const;
+  Seconds backoff_after(int earlier_failures) const;
 
   const transport::Clock& clock_;
   ClusterState& cluster_;
--- a/src/coordination/workers/heartbeat_endpoint.cpp
+++ b/src/coordination/workers/heartbeat_endpoint.cpp
@@ -18,8 +18,8 @@
 constexpr int kStatusMisdirected = 421;
 constexpr int kStatusUnavailable = 503;
 
-// The position of a heartbeat among those of its machine.
-auto position(const protocol::Heartbeat& heartbeat) {
+// Sort key of a heartbeat among those of its machine.
+auto order_key(const protocol::Heartbeat& heartbeat) {
   return std::tie(heartbeat.incarnation, heartbeat.sequence);
 }
 
@@ -53,9 +53,10 @@
   if (processor_.is_removed(heartbeat.machine)) return {};
   const Seconds now = clock_.now();
   Machine& machine = cluster_.machine(heartbeat.machine);
-  // The response renews the worker's lease as of when the heartbeat was sent, so not beyond a lease
-  // from now, however late a relay hands the response on. One that is no newer than what is known
-  // was sent before that, however late this copy of it comes.
+  // The response renews the worker's lease as of the time when the heartbeat was sent. The lease so
+  // ends within one lease duration from now, however late a relay delivers the response. A
+  // heartbeat that is not newer than the last known one was sent before it, however late this copy
+  // arrives.
   const bool stale = !HeartbeatProcessor::is_newer(heartbeat, machine);
   Commands commands;
   if (records == RecordsState::loaded) {
@@ -64,7 +65,8 @@
   machine.lease_renewed_at =
       std::max(machine.lease_renewed_at, stale ? machine.last_heartbeat_at : now);
   if (!election_.is_leader()) {
-    // Past its lease the leader keeps what runs alive and stops what must end, but starts nothing.
+    // After its own lease has expired, the leader keeps running tasks alive and stops tasks that
+    // must end, but starts none.
     std::erase_if(commands, [](const Command& c) { return c.type != CommandType::kill; });
   }
   return commands;
@@ -84,10 +86,10 @@
                                                 const std::string& via, RelayRoute route,
                                                 RecordsState records) {
   protocol::Heartbeat heartbeat;
-  const bool whole = item.heartbeat || !item.payload.empty();
+  const bool is_complete = item.heartbeat || !item.payload.empty();
   if (item.heartbeat) {
     heartbeat = *item.heartbeat;
-  } else if (whole) {
+  } else if (is_complete) {
     try {
       heartbeat = protocol::parse_heartbeat(item.payload);
     } catch (const std::exception& error) {
@@ -102,26 +104,26 @@
   election_.observe_fencing_token(heartbeat.fencing_token);
   if (!election_.may_answer_heartbeats()) return {kStatusUnavailable, ""};
   auto response = handle(heartbeat, via, route, records);
-  if (whole && response.status == kStatusOk) keep_as_base(std::move(heartbeat));
+  if (is_complete && response.status == kStatusOk) store_base(std::move(heartbeat));
   return {response.status, std::move(response.body)};
 }
 
-// The heartbeat that this one differs from in its sequence number only; null when it is not known
-// here, so that the relay must send the whole.
+// Returns the stored heartbeat that this one equals except for its sequence number. Null if it is
+// not stored here, in which case the relay must send the complete heartbeat.
 const protocol::Heartbeat* HeartbeatEndpoint::find_base(const RelayedHeartbeat& item) const {
   const Machine* machine = cluster_.find_machine(item.machine);
   if (machine == nullptr) return nullptr;
   const protocol::Heartbeat& base = machine->last_relayed_heartbeat;
-  const bool same = base.incarnation == item.incarnation && base.sequence == item.base_sequence &&
-                    item.sequence >= item.base_sequence;
-  return same ? &base : nullptr;
+  const bool matches = base.incarnation == item.incarnation &&
+                       base.sequence == item.base_sequence && item.sequence >= item.base_sequence;
+  return matches ? &base : nullptr;
 }
 
-// Keeps a whole heartbeat, so that later ones of the machine need not repeat what is the same.
-void HeartbeatEndpoint::keep_as_base(protocol::Heartbeat heartbeat) {
+// Stores a complete heartbeat as the base to which later deltas of the machine refer.
+void HeartbeatEndpoint::store_base(protocol::Heartbeat heartbeat) {
   Machine* machine = cluster_.find_machine(heartbeat.machine);
   if (machine == nullptr) return;
-  if (position(heartbeat) > position(machine->last_relayed_heartbeat)) {
+  if (order_key(heartbeat) > order_key(machine->last_relayed_heartbeat)) {
     machine->last_relayed_heartbeat = std::move(heartbeat);
   }
 }
--- a/src/coordination/workers/heartbeat_endpoint.hpp
+++ b/src/coordination/workers/heartbeat_endpoint.hpp
@@ -1,4 +1,4 @@
-/// Answers the heartbeats that reach the leader, one by one or in the batches of relays.
+/// Answers heartbeats that reach the leader, either individually or in batches from relays.
 #pragma once
 
 #include <string>
@@ -15,29 +15,31 @@
 
 namespace larkroad::coordination {
 
-/// How a batch of heartbeats came. A relay that cannot reach the leader directly reaches none of
-/// the controllers to which its workers could be redirected either.
+/// How a batch of heartbeats was received. If a relay cannot reach the leader directly, its workers
+/// are not redirected, as it cannot reach the other controllers either.
 enum class RelayRoute { direct, state_service };
 
-/// Whether all records have been read in this term. Until then heartbeats renew leases, but are not
-/// compared with placements.
+/// Whether all records have been read in this term. Until then, heartbeats renew leases but are not
+/// reconciled with placements.
 enum class RecordsState { loading, loaded };
 
-/// Has heartbeats taken in, renews the leases of their workers, and makes the responses.
+/// Passes heartbeats to the processor, renews the leases of their workers, and builds the
+/// responses.
 ///
 /// A response with status 200 renews the worker's lease, so `Machine::lease_renewed_at` is written
-/// here. Keeps `Machine::last_relayed_heartbeat`, against which relays send what has not changed.
-/// Called by the controller with what workers and relays send, while this controller may answer for
-/// the leader.
+/// here. Maintains `Machine::last_relayed_heartbeat`, the base of the deltas that relays send.
+/// Called by the controller for heartbeats from workers and relays, while this controller may
+/// answer heartbeats as the leader.
 class HeartbeatEndpoint {
  public:
   HeartbeatEndpoint(const transport::Clock& clock, ClusterState& cluster, Election& election,
                     RelayAssignment& relay_assignment, HeartbeatProcessor& processor);
 
-  /// Answers a worker's heartbeat. `via`: the controller that relays it; empty when it came here.
+  /// Answers a worker's heartbeat. `via`: the controller that relayed it; empty if it was received
+  /// directly.
   transport::Response handle(const protocol::Heartbeat& heartbeat, const std::string& via,
                              RelayRoute route, RecordsState records);
-  /// Answers the heartbeats of a batch, in their order.
+  /// Answers the heartbeats of a batch, in order.
   std::vector<protocol::RelayedAnswer> handle_batch(const protocol::RelayBatch& batch,
                                                     RelayRoute route, RecordsState records);
 
@@ -47,7 +49,7 @@
                                          RecordsState records);
   const protocol::Heartbeat* find_base(const protocol::RelayedHeartbeat& item) const;
   Commands process(const protocol::Heartbeat& heartbeat, RecordsState records);
-  void keep_as_base(protocol::Heartbeat heartbeat);
+  void store_base(protocol::Heartbeat heartbeat);
 
   const transport::Clock& clock_;
   ClusterState& cluster_;
--- a/src/coordination/workers/heartbeat_processor.cpp
+++ b/src/coordination/workers/heartbeat_processor.cpp
@@ -44,7 +44,7 @@
   if (is_removed(heartbeat.machine)) return {};
   Machine& machine = cluster_.machine(heartbeat.machine);
   if (!is_newer(heartbeat, machine)) return {};
-  // An incarnation whose lease expired cannot send any more: this heartbeat was held up.
+  // An incarnation whose lease has expired sends no more heartbeats: this one was delayed.
   if (machine.lease_expired && heartbeat.incarnation == machine.incarnation) return {};
   begin_incarnation(machine, heartbeat);
   update_machine(machine, heartbeat, source);
@@ -52,23 +52,23 @@
   return reconciler_.reconcile(machine, heartbeat, source);
 }
 
-// What a new incarnation, or the first heartbeat of a machine, tells of its leases.
+// Updates the lease of a machine that began a new incarnation or sent its first heartbeat.
 void HeartbeatProcessor::begin_incarnation(Machine& machine, const protocol::Heartbeat& heartbeat) {
   const Seconds now = clock_.now();
   const bool new_incarnation = heartbeat.incarnation > machine.incarnation;
   if (new_incarnation) {
-    // Its lease ran out although its heartbeats came and were answered: the responses don't arrive.
+    // The lease expired although heartbeats were received and answered: the responses are lost.
     if (machine.has_reported && !machine.lease_expired &&
         now - machine.last_heartbeat_at < settings_.lease_s / 2) {
-      health_.suspect_unreachable(machine);
+      health_.mark_unreachable(machine);
     }
     reconciler_.end_incarnations_before(machine, heartbeat.incarnation);
   }
   if (new_incarnation || !machine.has_reported) {
-    // The lease of an incarnation that nobody has answered counts from when it began, which may be
-    // as late as now. Without this the lease of a machine known by `/inspect` only was taken for
-    // expired by the bound of the earlier leader's answers, while the machine held new tasks (the
-    // simulated run cut_off_while_the_leader_changes).
+    // The lease of an incarnation that no leader has answered counts from its beginning, which may
+    // be as late as now. Otherwise a machine known only through `/inspect`, which holds new tasks,
+    // would have its lease expired by the bound on the earlier leader's answers (simulation
+    // scenario cut_off_while_the_leader_changes).
     machine.lease_renewed_at = std::max(machine.lease_renewed_at, now);
   }
   if (!machine.has_reported) register_machine(machine, heartbeat);
@@ -76,8 +76,8 @@
 
 void HeartbeatProcessor::register_machine(Machine& machine, const protocol::Heartbeat& heartbeat) {
   const Seconds now = clock_.now();
-  // Until it has seen this leader's token, one before that may still answer it. Those that the
-  // records name have this bound from the loading; a machine without tasks is met here first.
+  // Until the worker has seen this leader's token, an earlier leader may still renew its lease.
+  // Recovery sets this bound for machines named in records; a machine without tasks gets it here.
   if (heartbeat.fencing_token < first_fencing_token_) {
     machine.lease_renewed_at =
         std::max(machine.lease_renewed_at, term_began_at_ + election_.grace_period());
@@ -87,7 +87,7 @@
   machine.idle_since = now;
   if (machine.rented_at == 0) machine.rented_at = now;
   on_first_heartbeat_(machine);
-  spdlog::info("machine up machine={} type={} zone={} spot={}", heartbeat.machine, heartbeat.type,
+  spdlog::info("machine up: machine={} type={} zone={} spot={}", heartbeat.machine, heartbeat.type,
                heartbeat.zone, heartbeat.spot);
 }
 
@@ -112,8 +112,9 @@
   drop_fenced_launches(machine, heartbeat, source);
 }
 
-// Launches that the worker refuses from now on, as it has seen a higher token; and those in a
-// response to an earlier heartbeat, as its next one shows that it has handled the response.
+// Drops launches that the worker now rejects because it has seen a higher token, and those in the
+// response to an earlier heartbeat, as the worker's next heartbeat shows that it has processed the
+// response.
 void HeartbeatProcessor::drop_fenced_launches(Machine& machine,
                                               const protocol::Heartbeat& heartbeat,
                                               HeartbeatSource source) {
@@ -121,9 +122,9 @@
                 [&](const auto& entry) { return entry.second < machine.seen_fencing_token; });
   std::erase_if(machine.unresolved_launches, [&](const auto& entry) {
     const UnresolvedLaunch& launch = entry.second;
-    const bool response_handled = launch.answer_to != 0 && source == HeartbeatSource::worker &&
-                                  launch.answer_to < heartbeat.sequence;
-    return launch.fencing_token < machine.seen_fencing_token || response_handled;
+    const bool response_processed = launch.answer_to != 0 && source == HeartbeatSource::worker &&
+                                    launch.answer_to < heartbeat.sequence;
+    return launch.fencing_token < machine.seen_fencing_token || response_processed;
   });
 }
 
--- a/src/coordination/workers/heartbeat_processor.hpp
+++ b/src/coordination/workers/heartbeat_processor.hpp
@@ -1,4 +1,4 @@
-/// What heartbeats prove of machines and of the incarnations of their agents.
+/// Updates machines and their agent incarnations from heartbeats.
 #pragma once
 
 #include <cstddef>
@@ -19,13 +19,13 @@
 
 namespace larkroad::coordination {
 
-/// Takes heartbeats into the cluster state during one term of leadership.
+/// Applies heartbeats to the cluster state during one term of leadership.
 ///
-/// Heartbeats of a machine are ordered by incarnation and sequence number, and each is taken in at
-/// most once: copies and heartbeats that were overtaken have no effect. Once the lease of an
-/// incarnation expired, none of its heartbeats counts any more.
+/// Heartbeats of a machine are ordered by incarnation and sequence number, and each is applied at
+/// most once: duplicate and out-of-order heartbeats have no effect. Once the lease of an
+/// incarnation has expired, its heartbeats are ignored.
 ///
-/// Called with every heartbeat that reaches the leader, whichever way it came.
+/// Called for every heartbeat that reaches the leader, by whatever route.
 class HeartbeatProcessor {
  public:
   /// Called with a machine's first heartbeat in this term.
@@ -36,24 +36,24 @@
                      TaskReconciler& reconciler, const RemovedMachines& removed_machines,
                      OnFirstHeartbeat on_first_heartbeat);
 
-  /// What was processed since the counts were last taken.
+  /// Numbers processed since the last call of `take_counts`.
   struct Counts {
     std::size_t heartbeats = 0;
     std::size_t reported_tasks = 0;
   };
 
-  /// Begins a term of leadership under the present fencing token.
+  /// Begins a term of leadership under the current fencing token.
   void begin_term();
-  /// Whether the token is one of this term: the one that it began with, or a later one.
+  /// Whether the token belongs to this term: the one that it began with, or a later one.
   bool is_of_this_term(std::uint64_t fencing_token) const;
 
-  /// Whether the machine is known to be gone, so that its heartbeats are late copies.
+  /// Whether the machine has been removed, so that its heartbeats are late copies.
   bool is_removed(const std::string& machine_name) const {
     return removed_machines_.contains(machine_name);
   }
-  /// Whether the heartbeat is newer than all that is known of its machine.
+  /// Whether the heartbeat is newer than the last one processed for its machine.
   static bool is_newer(const protocol::Heartbeat& heartbeat, const Machine& machine);
-  /// Takes the heartbeat in, and returns the commands for its worker.
+  /// Applies the heartbeat, and returns the commands for its worker.
   Commands process(const protocol::Heartbeat& heartbeat, HeartbeatSource source);
   Counts take_counts() { return std::exchange(counts_, {}); }
 
@@ -77,7 +77,7 @@
   OnFirstHeartbeat on_first_heartbeat_;
   Counts counts_;
   Seconds term_began_at_ = 0;
-  std::uint64_t first_fencing_token_ = 0;  // of this term, before it was ever raised
+  std::uint64_t first_fencing_token_ = 0;  // with which this term began
 };
 
 }  // namespace larkroad::coordination
--- a/src/coordination/workers/machine_health.cpp
+++ b/src/coordination/workers/machine_health.cpp
@@ -9,16 +9,18 @@
 namespace larkroad::coordination {
 namespace {
 
-// Steady clocks drift apart by 0.05%; twice that is allowed for.
-constexpr double kClockDrift = 0.001;
-// What a lease is given beyond its end, in heartbeat intervals.
+// Steady clocks drift by up to 0.05% relative to each other; twice that is allowed for.
+constexpr double kMaxClockDriftRatio = 0.001;
+// Safety margin after the end of a lease, in heartbeat intervals.
 constexpr double kLeaseMarginIntervals = 1.0 / 10;
-// A machine whose last heartbeat is no older than this many intervals is up.
-constexpr double kRecentIntervals = 2;
-// The part of the machines that may be released because they are unreachable, beside one.
-constexpr double kReleasableShare = 0.2;
-// So few machines may all be gone at once; when more are, the fault is likely on this side.
-constexpr int kFewMachines = 4;
+// A machine counts as up if its last heartbeat is less than this many intervals old.
+constexpr double kRecentHeartbeatIntervals = 2;
+// Unreachable machines are released only if they are at most this fraction of all machines, plus
+// one.
+constexpr double kMaxUnreachableFraction = 0.2;
+// Fewer machines than this may all fail at once; if more are silent, the fault is likely on the
+// controller's side.
+constexpr int kMinMachinesForNewestHeartbeat = 4;
 
 }  // namespace
 
@@ -30,52 +32,54 @@
   const Seconds now = clock_.now();
   std::vector<std::string> expired;
   for (const auto& [name, machine] : cluster_.machines()) {
-    if (has_outlived_lease(machine, now)) expired.push_back(name);
+    if (has_lease_expired(machine, now)) expired.push_back(name);
   }
   for (const auto& name : expired) {
     Machine& machine = *cluster_.find_machine(name);
     machine.lease_expired = true;
     machine.lease_expired_at = now;
-    spdlog::info("lease expired machine={}", name);
+    spdlog::info("lease expired: machine={}", name);
     callbacks_.end_incarnation(machine);
   }
 }
 
-// Whether the worker has ended every task by now. It begins a new incarnation when it can reach a
-// controller again.
-bool MachineHealth::has_outlived_lease(const Machine& machine, Seconds now) const {
+// Whether the worker has ended all its tasks by now. It begins a new incarnation when it can reach
+// a controller again.
+bool MachineHealth::has_lease_expired(const Machine& machine, Seconds now) const {
   if (machine.lease_expired || machine.lease_renewed_at < 0) return false;
-  return now > machine.lease_renewed_at + settings_.lease_s * (1 + kClockDrift) +
+  return now > machine.lease_renewed_at + settings_.lease_s * (1 + kMaxClockDriftRatio) +
                    settings_.heartbeat_interval_s * kLeaseMarginIntervals;
 }
 
 void MachineHealth::check_unreachable() {
   const Seconds now = clock_.now();
   std::size_t unreachable = 0;
-  std::vector<std::string> lost;
+  std::vector<std::string> to_release;
   for (auto& [name, machine] : cluster_.machines()) {
     if (machine.unreachable_since < 0 || machine.lease_expired || machine.being_released) continue;
     ++unreachable;
-    // After a lease without an answer its worker's lease has run out too, so it runs nothing.
-    if (now - machine.unreachable_since > settings_.lease_s) lost.push_back(name);
+    // After a lease duration without an answer, the worker's lease has expired too and it runs no
+    // tasks.
+    if (now - machine.unreachable_since > settings_.lease_s) to_release.push_back(name);
     if (now - machine.inspected_at > settings_.heartbeat_interval_s) {
       callbacks_.query_status(machine);
     }
   }
-  const double releasable = kReleasableShare * static_cast<double>(cluster_.machines().size()) + 1;
-  if (lost.empty() || static_cast<double>(unreachable) > releasable) return;
-  callbacks_.release_machines(lost);
+  const double max_unreachable =
+      kMaxUnreachableFraction * static_cast<double>(cluster_.machines().size()) + 1;
+  if (to_release.empty() || static_cast<double>(unreachable) > max_unreachable) return;
+  callbacks_.release_machines(to_release);
 }
 
-void MachineHealth::suspect_unreachable(Machine& machine) {
+void MachineHealth::mark_unreachable(Machine& machine) {
   if (machine.unreachable_since >= 0) return;
   machine.unreachable_since = clock_.now();
-  spdlog::info("machine sends heartbeats but is unreachable machine={}", machine.name);
+  spdlog::info("machine sends heartbeats but is unreachable: machine={}", machine.name);
 }
 
 void MachineHealth::call_unanswered(Machine& machine) {
-  const Seconds recent = clock_.now() - settings_.heartbeat_interval_s * kRecentIntervals;
-  if (machine.last_heartbeat_at > recent) suspect_unreachable(machine);
+  const Seconds recent = clock_.now() - settings_.heartbeat_interval_s * kRecentHeartbeatIntervals;
+  if (machine.last_heartbeat_at > recent) mark_unreachable(machine);
 }
 
 void MachineHealth::call_answered(Machine& machine) {
@@ -87,13 +91,13 @@
 
 std::optional<Seconds> MachineHealth::newest_heartbeat_at() const {
   std::optional<Seconds> newest;
-  int with_lease = 0;
+  int machines_with_lease = 0;
   for (const auto& [name, machine] : std::as_const(cluster_).machines()) {
     if (!machine.has_reported || machine.lease_expired) continue;
-    ++with_lease;
+    ++machines_with_lease;
     newest = std::max(newest.value_or(machine.last_heartbeat_at), machine.last_heartbeat_at);
   }
-  return with_lease >= kFewMachines ? newest : std::nullopt;
+  return machines_with_lease >= kMinMachinesForNewestHeartbeat ? newest : std::nullopt;
 }
 
 }  // namespace larkroad::coordination
--- a/src/coordination/workers/machine_health.hpp
+++ b/src/coordination/workers/machine_health.hpp
@@ -1,4 +1,4 @@
-/// Which machines the leader counts as gone or out of reach.
+/// Detects machines whose lease has expired or that are unreachable.
 #pragma once
 
 #include <functional>
@@ -12,49 +12,51 @@
 
 namespace larkroad::coordination {
 
-/// Watches the leases of workers and whether calls to them are answered.
+/// Monitors the leases of workers and whether calls to them are answered.
 ///
-/// Writes the `lease_expired` and `unreachable_since` fields of `Machine`; has no state of its own.
-/// A machine whose lease expired runs nothing any more: its worker ends every task by then. One
-/// that is unreachable still runs what it has, as its heartbeats come; nothing more is placed there
-/// until it answers, and it is released after a lease without an answer.
+/// Writes the `lease_expired` and `unreachable_since` fields of `Machine`; stateless. A machine
+/// whose lease has expired runs no tasks, as its worker has ended them all by then. An unreachable
+/// machine keeps running its tasks, as its heartbeats still arrive; no more tasks are placed there
+/// until it answers a call, and it is released after a lease duration without an answer.
 ///
 /// Called by the leader's periodic work, heartbeat processing and the command dispatcher.
 class MachineHealth {
  public:
   struct Callbacks {
-    /// The agent incarnation on this machine is over, and all that it ran.
+    /// Ends the agent incarnation on this machine and all its tasks.
     std::function<void(Machine& machine)> end_incarnation;
-    /// Asks the worker for its status.
+    /// Requests the status of the worker.
     std::function<void(Machine& machine)> query_status;
     /// Returns these machines to the cloud.
     std::function<void(const std::vector<std::string>& names)> release_machines;
+    /// Requests a scheduling cycle.
     std::function<void()> request_plan;
   };
 
   MachineHealth(const transport::Clock& clock, ClusterState& cluster, const Settings& settings,
                 Callbacks callbacks);
 
-  /// Ends the incarnations whose lease has run out. To be called periodically.
+  /// Ends incarnations whose lease has expired. Must be called periodically.
   void expire_leases();
-  /// Queries the unreachable machines, and releases those that have not answered for a lease. When
-  /// they are a large part of the fleet the fault is more likely on this side, and none is
-  /// released. To be called periodically.
+  /// Queries unreachable machines, and releases those that have not answered for a lease duration.
+  /// If a large fraction of the fleet is unreachable, the fault is more likely on the controller's
+  /// side, and none is released. Must be called periodically.
   void check_unreachable();
 
-  /// Takes the machine for unreachable, although its heartbeats come.
-  void suspect_unreachable(Machine& machine);
-  /// A call was not answered: a machine that sent a heartbeat a moment ago is unreachable.
+  /// Marks the machine as unreachable, although its heartbeats arrive.
+  void mark_unreachable(Machine& machine);
+  /// Handles an unanswered call: marks the machine as unreachable if its last heartbeat is recent.
   void call_unanswered(Machine& machine);
-  /// A call was answered: the machine is reachable, and its heartbeats are no late copies.
+  /// Handles an answered call: the machine is reachable, and its heartbeats are not late copies.
   void call_answered(Machine& machine);
 
-  /// When the newest heartbeat of any machine came; none while fewer machines hold a lease than
-  /// could well be gone all at once. If that is long ago the fault is more likely on this side.
+  /// When the most recent heartbeat of any machine was received. If that is long ago, the fault is
+  /// more likely on the controller's side. None while so few machines hold a lease that all of them
+  /// may have failed at once.
   std::optional<Seconds> newest_heartbeat_at() const;
 
  private:
-  bool has_outlived_lease(const Machine& machine, Seconds now) const;
+  bool has_lease_expired(const Machine& machine, Seconds now) const;
 
   const transport::Clock& clock_;
   ClusterState& cluster_;
--- a/src/coordination/workers/task_evictor.cpp
+++ b/src/coordination/workers/task_evictor.cpp
@@ -27,16 +27,16 @@
       {{protocol::CommandType::kill, {job.id(), placement.task}, placement.attempt, grace_s}});
 }
 
-// Long enough to save, with a heartbeat interval to spare for a slow machine.
+// The time to save a checkpoint, plus a margin of one heartbeat interval for slow machines.
 double TaskEvictor::checkpoint_grace(const Job& job) const {
   return job.spec.save_s + settings_.heartbeat_interval_s;
 }
 
 void TaskEvictor::drain(Machine& machine, double reclaim_notice_s) {
   machine.reclaimed_at = clock_.now() + reclaim_notice_s;
-  spdlog::info("machine to be reclaimed machine={} notice_s={:.1f}", machine.name,
+  spdlog::info("machine will be reclaimed: machine={} notice_s={:.1f}", machine.name,
                reclaim_notice_s);
-  const auto tasks = machine.tasks;  // a copy: what follows may change it
+  const auto tasks = machine.tasks;  // a copy, as the loop may modify the set
   for (const auto& id : tasks) {
     Job* job = cluster_.job(id.job);
     if (job == nullptr) continue;
@@ -48,14 +48,14 @@
 
 void TaskEvictor::evict_before_reclaim(Job& job, Placement& placement) {
   if (job.spec.is_gang() && job.spec.tasks > 1) {
-    // A graceful stop: all members, with the same grace, in one call to each machine.
+    // Stops all members gracefully, with the same grace period and in one call per machine.
     for (auto& [task, member] : job.placements) {
       if (member.stage == Placement::Stage::acknowledged) {
         stop(job, member, checkpoint_grace(job));
       }
     }
   } else if (job.spec.is_service()) {
-    request_plan_();  // the scheduler finds room for the replica on another machine first
+    request_plan_();  // the scheduler first finds capacity for the replica on another machine
   } else if (job.spec.checkpoint_s > 0 || placement.state != TaskState::running) {
     stop(job, placement, checkpoint_grace(job));
   }
--- a/src/coordination/workers/task_evictor.hpp
+++ b/src/coordination/workers/task_evictor.hpp
@@ -1,4 +1,4 @@
-/// Stops tasks on workers, one by one or all that a machine must give up.
+/// Stops individual tasks on workers, or the tasks of a machine that is to be reclaimed.
 #pragma once
 
 #include <functional>
@@ -10,23 +10,23 @@
 
 namespace larkroad::coordination {
 
-/// Decides how tasks are stopped, and sends the commands for it.
+/// Decides how tasks are stopped, and queues the kill commands.
 ///
-/// Marks placements as stopping; they end once a heartbeat shows that the task is gone. Has no
-/// state of its own. Called by heartbeat processing, scheduling (preemption, replica migration),
-/// cancellation and the abortion of gang attempts.
+/// Marks placements as stopping; they are removed once a heartbeat shows that the task is gone.
+/// Stateless. Called by heartbeat processing, scheduling (preemption, replica migration),
+/// cancellation and the abort of gang attempts.
 class TaskEvictor {
  public:
   TaskEvictor(const transport::Clock& clock, ClusterState& cluster, CommandDispatcher& dispatcher,
               const Settings& settings, std::function<void()> request_plan);
 
-  /// Stops a task. `grace_s`: how long it may take to save a checkpoint; 0: none at all. A task
-  /// that is stopping already is sent another command only when that leaves it less time.
+  /// Stops a task. `grace_s`: how long it may take to save a checkpoint; 0: it must not save one. A
+  /// task that is already stopping is sent another command only if that shortens its grace period.
   void stop(Job& job, Placement& placement, double grace_s);
-  /// The grace within which a task of the job can save a checkpoint.
+  /// The grace period within which a task of the job can save a checkpoint.
   double checkpoint_grace(const Job& job) const;
-  /// Evicts the tasks of a spot machine that is to be reclaimed after so many seconds, as far as
-  /// they save something by it: all members of a gang together, and tasks with checkpoints.
+  /// Evicts tasks of a spot machine that is to be reclaimed in `reclaim_notice_s`, if stopping them
+  /// early preserves progress: all members of a gang together, and tasks with checkpoints.
   void drain(Machine& machine, double reclaim_notice_s);
 
  private:
--- a/src/coordination/workers/task_reconciler.cpp
+++ b/src/coordination/workers/task_reconciler.cpp
@@ -12,10 +12,11 @@
 using protocol::ExitCause;
 using protocol::TaskStatus;
 
-// Exited tasks that a machine retains for want of a higher token, before that is raised for them.
+// If a machine retains more exited tasks than this until it sees a higher token, the token is
+// raised.
 constexpr int kMaxRetainedExits = 6;
 
-constexpr const char* kAbsentReason = "not on its machine";
+constexpr const char* kAbsentReason = "task not reported by its machine";
 
 const char* state_name(TaskState state) {
   switch (state) {
@@ -33,8 +34,8 @@
   return "unknown";
 }
 
-// Whether the exit of one task ends the attempt of others.
-bool has_other_members(const JobSpec& spec) { return spec.is_gang() && spec.tasks > 1; }
+// Whether the exit of one task also ends the attempt of others.
+bool has_several_members(const JobSpec& spec) { return spec.is_gang() && spec.tasks > 1; }
 
 }  // namespace
 
@@ -57,17 +58,17 @@
   return commands;
 }
 
-// The placement that the reported task belongs to; null when there is none.
+// Returns the placement of the reported task; null if there is none.
 Placement* TaskReconciler::find_placement(const Machine& machine, const TaskStatus& task) {
   Job* job = cluster_.job(task.id.job);
   if (job == nullptr) return nullptr;
   const auto it = job->placements.find(task.id.task);
   if (it == job->placements.end()) return nullptr;
   Placement& placement = it->second;
-  const bool same = placement.machine == machine.name && placement.attempt == task.attempt &&
-                    placement.incarnation == machine.incarnation &&
-                    placement.stage != Placement::Stage::persisting;
-  return same ? &placement : nullptr;
+  const bool matches = placement.machine == machine.name && placement.attempt == task.attempt &&
+                       placement.incarnation == machine.incarnation &&
+                       placement.stage != Placement::Stage::persisting;
+  return matches ? &placement : nullptr;
 }
 
 void TaskReconciler::reconcile_task(Machine& machine, const TaskStatus& task, Commands& commands) {
@@ -77,13 +78,13 @@
   }
   Placement* placement = find_placement(machine, task);
   if (placement == nullptr) {
-    // No record wants it: it is left of a job that is over.
+    // No placement record refers to the task: it is left over from a finished job.
     commands.push_back({CommandType::kill, task.id, task.attempt, 0});
     return;
   }
   update_placement(machine, *cluster_.job(task.id.job), *placement, task.state);
-  // One that saves is left to it, unless it has no grace any more: the first such command may have
-  // been lost.
+  // The kill is repeated, as the first one may have been lost. A task that is saving a checkpoint
+  // is not killed again unless its grace period has been reduced to 0.
   if (placement->stopping && (task.state != TaskState::saving || placement->grace_s <= 0)) {
     placement->stop_sent = clock_.now();
     commands.push_back({CommandType::kill, task.id, task.attempt, placement->grace_s});
@@ -94,8 +95,8 @@
                                       TaskState state) {
   const Seconds now = clock_.now();
   if (placement.stage != Placement::Stage::acknowledged || placement.state != state) {
-    spdlog::debug("task state task={}/{} attempt={} machine={} state={}", job.id(), placement.task,
-                  placement.attempt, machine.name, state_name(state));
+    spdlog::debug("task state changed: task={}/{} attempt={} machine={} state={}", job.id(),
+                  placement.task, placement.attempt, machine.name, state_name(state));
   }
   const bool has_image = state != TaskState::fetching;
   if (has_image && placement.state == TaskState::fetching) {
@@ -120,30 +121,30 @@
   if (find_placement(machine, task) != nullptr) {
     handle_exit(machine, *cluster_.job(task.id.job), task);
   }
-  // After `forget`, a launch that is still on its way would run the task once more.
+  // After `forget`, a launch that is still in transit would run the task again.
   const auto launch = machine.unresolved_launches.find({task.id, task.attempt});
   if (launch != machine.unresolved_launches.end()) {
     if (launch->second.answer_to == 0) dispatcher_.require_fencing_of(launch->second);
     return;
   }
-  if (is_durable(task) && may_forget(machine, task)) {
+  if (is_result_durable(task) && can_forget(machine, task)) {
     commands.push_back({CommandType::forget, task.id, task.attempt, 0});
   }
 }
 
-// Whether the worker's copy of the task's result is not needed any more.
-bool TaskReconciler::is_durable(const TaskStatus& task) const {
+// Whether the task's result is stored durably, so that the worker's copy is no longer needed.
+bool TaskReconciler::is_result_durable(const TaskStatus& task) const {
   if (task.cause != ExitCause::done) return true;
   const Job* job = cluster_.job(task.id.job);
   return job == nullptr || !job->unpersisted_done.contains(task.id.task);
 }
 
-// A copy of a direct launch may still come to a machine that has forgotten the task: what failed or
-// was stopped there and runs on another machine by now would run twice, and even one that is done
-// takes its room once more, beyond its team's limit perhaps. So a task is retained there until the
-// worker has seen a higher token than that of its launch; when many are, the token is raised for
-// them.
-bool TaskReconciler::may_forget(Machine& machine, const TaskStatus& task) {
+// A late copy of a direct launch may still reach a machine that has forgotten the task. A task that
+// failed or was stopped there and now runs on another machine would then run twice; even a
+// completed task would use resources again, possibly exceeding its team's quota. So the worker
+// retains the task until it has seen a higher token than that of the launch. If it retains many,
+// the token is raised.
+bool TaskReconciler::can_forget(Machine& machine, const TaskStatus& task) {
   const auto launch = machine.direct_launches.find({task.id, task.attempt});
   if (launch == machine.direct_launches.end()) return true;
   if (launch->second >= machine.seen_fencing_token) {
@@ -156,13 +157,13 @@
 
 void TaskReconciler::handle_exit(Machine& machine, Job& job, const TaskStatus& task) {
   const char* cause = protocol::cause_name(task.cause);
-  spdlog::info("task exited task={} attempt={} machine={} cause={} saved={}", task.id.text(),
+  spdlog::info("task exited: task={} attempt={} machine={} cause={} saved={}", task.id.text(),
                task.attempt, machine.name, cause, task.saved);
   const Placement& placement = job.placements.at(task.id.task);
   switch (task.cause) {
     case ExitCause::done:
       if (!job.spec.is_service()) {
-        complete(machine, job, task.id.task);
+        complete_task(machine, job, task.id.task);
         return;
       }
       failures_.record_replica_exit(job, placement);
@@ -182,11 +183,11 @@
   }
   callbacks_.task_gone(job, task.id.task, cause);
   // A gang's attempt ends with the exit of any of its tasks. The worker remembers the attempt, so
-  // launching it there again would have no effect; the rest starts anew under the next one.
-  if (has_other_members(job.spec)) callbacks_.abort_gang_attempt(job, cause);
+  // launching it there again would have no effect; all members restart under the next attempt.
+  if (has_several_members(job.spec)) callbacks_.abort_gang_attempt(job, cause);
 }
 
-void TaskReconciler::complete(Machine& machine, Job& job, std::uint32_t task) {
+void TaskReconciler::complete_task(Machine& machine, Job& job, std::uint32_t task) {
   const Seconds now = clock_.now();
   FailureTracker::record_success(machine);
   const Placement& placement = job.placements.at(task);
@@ -200,7 +201,7 @@
                                             HeartbeatSource source, Commands& commands) {
   std::set<LaunchKey> reported;
   for (const auto& task : heartbeat.tasks) reported.insert({task.id, task.attempt});
-  const auto tasks = machine.tasks;  // a copy: what follows may change it
+  const auto tasks = machine.tasks;  // a copy, as the loop may modify the set
   for (const auto& id : tasks) {
     Job* job = cluster_.job(id.job);
     if (job == nullptr) continue;
@@ -224,23 +225,23 @@
     if (!unresolved) {
       callbacks_.task_gone(job, placement.task, kAbsentReason);
     } else if (!launch->second.pending) {
-      // The launch may still arrive: a higher token rules that out once the worker has seen it.
+      // The launch may still arrive, until the worker has seen a higher token.
       dispatcher_.require_fencing_of(launch->second);
     }
     return;
   }
   if (placement.recovered) {
-    // Not to be launched again as it stands: its room and its part of the team's limit may have
-    // gone to others since. Once the worker has seen this leader's token nothing of an earlier
-    // one can start it any more, and it queues like any other task.
+    // Not launched again: its resources and its share of the team's quota may have been given to
+    // others. Once the worker has seen this leader's token, no launch by an earlier leader can
+    // start the task any more, and it is queued like any other task.
     if (!unresolved) callbacks_.task_gone(job, placement.task, kAbsentReason);
     return;
   }
   if (unresolved && launch->second.pending) return;
-  // To be repeated in the response to a heartbeat only: that is never carried out late. Until the
-  // next heartbeat it may be under way, though; without this a task that was stopped meanwhile
-  // counted as gone, by the answer to the stop, and was started by the late response as well as on
-  // another machine.
+  // The launch is repeated only in the response to a heartbeat, which is never carried out late. It
+  // stays unresolved until the worker's next heartbeat, as the response may still be in transit.
+  // Otherwise a task stopped in the meantime would be counted as gone by the answer to the kill,
+  // and be started both by the late response and on another machine.
   if (source != HeartbeatSource::worker) return;
   placement.stage = Placement::Stage::dispatched;
   machine.unresolved_launches.try_emplace(
@@ -249,7 +250,7 @@
 }
 
 void TaskReconciler::end_incarnations_before(Machine& machine, std::uint64_t incarnation) {
-  const auto tasks = machine.tasks;  // a copy: what follows may change it
+  const auto tasks = machine.tasks;  // a copy, as the loop may modify the set
   machine.unresolved_launches.clear();
   machine.direct_launches.clear();
   for (const auto& id : tasks) {
@@ -258,7 +259,8 @@
     const auto it = job->placements.find(id.task);
     if (it == job->placements.end() || it->second.incarnation >= incarnation) continue;
     if (it->second.stage == Placement::Stage::persisting) {
-      // Its record names an incarnation that is over: nothing of it was sent. Decide anew.
+      // The record being written names an ended incarnation; no launch was sent, so the task is
+      // placed again.
       cluster_.unplace(*job, id.task, clock_.now());
       callbacks_.request_plan();
     } else {
@@ -270,7 +272,7 @@
 }
 
 void TaskReconciler::end_all_tasks(Machine& machine, const std::string& reason) {
-  const auto tasks = machine.tasks;  // a copy: what follows may change it
+  const auto tasks = machine.tasks;  // a copy, as the loop may modify the set
   for (const auto& id : tasks) {
     Job* job = cluster_.job(id.job);
     if (job != nullptr && job->placements.contains(id.task)) {
--- a/src/coordination/workers/task_reconciler.hpp
+++ b/src/coordination/workers/task_reconciler.hpp
@@ -1,4 +1,4 @@
-/// Brings placements into line with the tasks that workers report.
+/// Reconciles placements with the tasks that workers report.
 #pragma once
 
 #include <cstdint>
@@ -15,43 +15,45 @@
 
 namespace larkroad::coordination {
 
-/// Where a heartbeat comes from. Commands in the response to a worker's own heartbeat are never
+/// The source of a heartbeat. Commands in the response to a worker's own heartbeat are never
 /// carried out late: the worker's next heartbeat shows that they were carried out or dropped.
 enum class HeartbeatSource {
-  worker,       ///< sent by the worker, itself or by way of a relay
-  call_answer,  ///< the worker's answer to a call of this leader
+  worker,       ///< sent by the worker, directly or through a relay
+  call_answer,  ///< the worker's answer to a call by this leader
 };
 
 /// Compares the tasks of a heartbeat with the placements on its machine, in one pass.
 ///
-/// For each reported task it updates the placement, or has the worker kill what has no placement
-/// and forget what is over. Placed tasks that are not reported are launched again or counted as
-/// gone. Has no state of its own; it writes placements, and the launches of `Machine`. A task is
-/// counted as gone only when no launch of it can still take effect, so that none runs twice.
+/// Updates the placement of each reported task, has the worker kill tasks without a placement, and
+/// has it forget exited tasks. Placed tasks that are not reported are launched again or counted as
+/// gone. Stateless; writes placements and the launches of `Machine`. A task is counted as gone only
+/// when no launch of it can still take effect, so that none runs twice.
 ///
 /// Called by heartbeat processing and by machine health.
 class TaskReconciler {
  public:
-  /// What follows for jobs.
+  /// Effects on jobs.
   struct Callbacks {
-    /// Writes the records of the job that have changed.
+    /// Writes the changed records of the job.
     std::function<void(Job& job)> persist;
-    /// The task is proved to run no more, without having completed.
+    /// Called when a task provably no longer runs and has not completed.
     std::function<void(Job& job, std::uint32_t task, const std::string& reason)> task_gone;
-    /// The other tasks of the gang end as well.
+    /// Stops the other tasks of the gang.
     std::function<void(Job& job, const std::string& reason)> abort_gang_attempt;
+    /// Requests a scheduling cycle.
     std::function<void()> request_plan;
   };
 
   TaskReconciler(const transport::Clock& clock, ClusterState& cluster, const Election& election,
                  CommandDispatcher& dispatcher, FailureTracker& failures, Callbacks callbacks);
 
-  /// Takes in the tasks of the machine's newest heartbeat, and returns the commands for its worker.
+  /// Processes the tasks in the machine's newest heartbeat, and returns the commands for its
+  /// worker.
   Commands reconcile(Machine& machine, const protocol::Heartbeat& heartbeat,
                      HeartbeatSource source);
-  /// Everything that ran on the machine under incarnations before this one is over.
+  /// Ends all tasks that ran on the machine under incarnations before this one.
   void end_incarnations_before(Machine& machine, std::uint64_t incarnation);
-  /// Everything on the machine is over, as the machine itself is.
+  /// Ends all tasks on the machine, as the machine itself is gone.
   void end_all_tasks(Machine& machine, const std::string& reason);
 
  private:
@@ -65,9 +67,9 @@
   void reconcile_absent_task(Machine& machine, Job& job, Placement& placement,
                              HeartbeatSource source, Commands& commands);
   void handle_exit(Machine& machine, Job& job, const protocol::TaskStatus& task);
-  void complete(Machine& machine, Job& job, std::uint32_t task);
-  bool is_durable(const protocol::TaskStatus& task) const;
-  bool may_forget(Machine& machine, const protocol::TaskStatus& task);
+  void complete_task(Machine& machine, Job& job, std::uint32_t task);
+  bool is_result_durable(const protocol::TaskStatus& task) const;
+  bool can_forget(Machine& machine, const protocol::TaskStatus& task);
 
   const transport::Clock& clock_;
   ClusterState& cluster_;
