--- a/tests/command_dispatcher_test.cpp
+++ b/tests/command_dispatcher_test.cpp
@@ -18,9 +18,9 @@
 using transport::Outcome;
 
 constexpr std::uint64_t kToken = 7;
-constexpr Seconds kGathering = 0.02;  // longer than commands are gathered
+constexpr Seconds kBatchWait = 0.02;  // longer than the batching delay of commands
 
-/// Keeps calls, to be answered by the test.
+/// Records calls; the test answers them.
 class PendingClient : public transport::Client {
  public:
   struct Call {
@@ -35,7 +35,7 @@
   std::vector<Call> calls;
 };
 
-/// A dispatcher of a leader with two machines and a job of two tasks, one placed on each machine.
+/// The dispatcher of a leader with two machines and a job of two tasks, one placed on each machine.
 class CommandDispatcherTest : public ::testing::Test {
  protected:
   CommandDispatcherTest() {
@@ -51,10 +51,10 @@
 
   CommandDispatcher::Callbacks callbacks() {
     return {
-        .is_leader = [this] { return leads; },
+        .is_leader = [this] { return is_leading; },
         .fencing_token = [this] { return fencing_token; },
         .raise_fencing_token = [this] { ++fencing_token; },
-        .observe_fencing_token = [this](std::uint64_t token) { superseded_by.push_back(token); },
+        .observe_fencing_token = [this](std::uint64_t token) { observed_tokens.push_back(token); },
         .process_heartbeat =
             [this](const protocol::Heartbeat& heartbeat) {
               processed.push_back(heartbeat.sequence);
@@ -91,9 +91,9 @@
   PendingClient client;
   ClusterState cluster{settings};
   Job* job = nullptr;
-  bool leads = true;
+  bool is_leading = true;
   std::uint64_t fencing_token = kToken;
-  std::vector<std::uint64_t> superseded_by;
+  std::vector<std::uint64_t> observed_tokens;
   std::vector<std::uint64_t> processed;
   Commands follow_up;
   std::vector<std::string> answered;
@@ -102,12 +102,12 @@
   CommandDispatcher dispatcher{clock, client, cluster, settings, callbacks()};
 };
 
-TEST_F(CommandDispatcherTest, CommandsForOneMachineGoInOneCallInTheirOrder) {
+TEST_F(CommandDispatcherTest, CommandsForOneMachineAreBatchedInOrder) {
   dispatcher.queue("m-2", {kill_command(1)});
   dispatcher.queue("m-1", {kill_command(0)});
   dispatcher.queue("m-1", {kill_command(1)});
   EXPECT_TRUE(client.calls.empty());
-  clock.run_for(kGathering);
+  clock.run_for(kBatchWait);
   ASSERT_EQ(client.calls.size(), 2u);
   EXPECT_EQ(client.calls[0].endpoint, "m-1:1");
   EXPECT_EQ(client.calls[0].request.target, protocol::kCommandsPath);
@@ -118,31 +118,31 @@
   EXPECT_EQ(dispatcher.take_sent_calls(), 0u);
 }
 
-TEST_F(CommandDispatcherTest, CommandsDoNotReachTheNextIncarnation) {
+TEST_F(CommandDispatcherTest, CommandsAreNotSentToTheNextIncarnation) {
   dispatcher.queue("m-1", {kill_command(0)});
   machine("m-1").incarnation = 2;
-  clock.run_for(kGathering);
+  clock.run_for(kBatchWait);
   EXPECT_TRUE(client.calls.empty());
 }
 
 TEST_F(CommandDispatcherTest, CommandsOfAnEarlierTermAreNotSent) {
   dispatcher.queue("m-1", {kill_command(0)});
   dispatcher.restart();
-  clock.run_for(kGathering);
+  clock.run_for(kBatchWait);
   EXPECT_TRUE(client.calls.empty());
   dispatcher.queue("m-1", {kill_command(0)});
-  clock.run_for(kGathering);
+  clock.run_for(kBatchWait);
   EXPECT_EQ(client.calls.size(), 1u);
 }
 
-TEST_F(CommandDispatcherTest, LaunchIsUnresolvedFromItsQueueing) {
+TEST_F(CommandDispatcherTest, LaunchIsUnresolvedOnceQueued) {
   dispatcher.launch(*job, {0, 1});
   EXPECT_EQ(job->placements.at(0).stage, Placement::Stage::dispatched);
   EXPECT_TRUE(is_unresolved("m-1", 0));
   EXPECT_TRUE(is_unresolved("m-2", 1));
   EXPECT_EQ(machine("m-1").direct_launches.size(), 1u);
-  fencing_token = kToken + 1;  // raised while the launches wait
-  clock.run_for(kGathering);
+  fencing_token = kToken + 1;  // raised while the launches are queued
+  clock.run_for(kBatchWait);
   ASSERT_EQ(client.calls.size(), 2u);
   EXPECT_EQ(client.calls[0].request.body, commands({launch_command(0)}, kToken + 1));
   const auto& launch = machine("m-1").unresolved_launches.begin()->second;
@@ -150,13 +150,13 @@
   EXPECT_TRUE(launch.pending);
 }
 
-TEST_F(CommandDispatcherTest, TaskIsUnplacedWhenItsMachineIsGoneBeforeTheLaunch) {
+TEST_F(CommandDispatcherTest, TaskIsUnplacedWhenItsIncarnationEndsBeforeTheLaunch) {
   machine("m-1").lease_expired = true;
   machine("m-2").incarnation = 2;
   dispatcher.launch(*job, {0, 1});
   EXPECT_TRUE(job->placements.empty());
   EXPECT_EQ(requested_plans, 2);
-  clock.run_for(kGathering);
+  clock.run_for(kBatchWait);
   EXPECT_TRUE(client.calls.empty());
 }
 
@@ -166,12 +166,12 @@
     std::function<void()> change;
   };
   const Case cases[] = {
-      {"placement gone", [this] { cluster.unplace(*job, 0, clock.now()); }},
+      {"placement removed", [this] { cluster.unplace(*job, 0, clock.now()); }},
       {"placed on another machine", [this] { job->placements.at(0).machine = "m-2"; }},
       {"another attempt", [this] { job->placements.at(0).attempt = 2; }},
       {"another incarnation", [this] { job->placements.at(0).incarnation = 2; }},
-      {"past the leader's lease", [this] { leads = false; }},
-      {"job gone", [this] { cluster.remove_job("job"); }},
+      {"leader's lease expired", [this] { is_leading = false; }},
+      {"job removed", [this] { cluster.remove_job("job"); }},
   };
   for (const auto& [name, change] : cases) {
     SCOPED_TRACE(name);
@@ -179,19 +179,19 @@
     dispatcher.launch(*job, {0});
     change();
     dispatcher.queue("m-1", {kill_command(1)});
-    clock.run_for(kGathering);
+    clock.run_for(kBatchWait);
     ASSERT_EQ(client.calls.size(), 1u);
     EXPECT_EQ(client.calls[0].request.body, commands({kill_command(1)}));
     EXPECT_FALSE(is_unresolved("m-1", 0));
     EXPECT_TRUE(machine("m-1").direct_launches.empty());
-    leads = true;
+    is_leading = true;
     cluster.remove_job("job");
     job = &testing::add_job(cluster, testing::spec("job", 2));
     cluster.place(*job, 0, machine("m-1"), 1, clock.now());
   }
 }
 
-TEST_F(CommandDispatcherTest, OutcomeOfACallResolvesItsLaunches) {
+TEST_F(CommandDispatcherTest, CallOutcomeResolvesItsLaunches) {
   struct Case {
     Outcome outcome;
     int status;
@@ -204,52 +204,52 @@
       {Outcome::not_sent, 0, true, false},    {Outcome::unknown, 0, false, false},
       {Outcome::answered, 503, false, false},
   };
-  for (const auto& [outcome, http_status, resolved, reached] : cases) {
+  for (const auto& [outcome, http_status, resolved, is_answered] : cases) {
     SCOPED_TRACE(std::to_string(static_cast<int>(outcome)) + " " + std::to_string(http_status));
     client.calls.clear();
     answered.clear();
     unanswered.clear();
     dispatcher.launch(*job, {0});
-    clock.run_for(kGathering);
+    clock.run_for(kBatchWait);
     ASSERT_EQ(client.calls.size(), 1u);
     client.calls[0].on_reply(outcome, {http_status, status(kToken), 0});
     EXPECT_EQ(is_unresolved("m-1", 0), !resolved);
     for (const auto& [key, launch] : machine("m-1").unresolved_launches) {
       EXPECT_FALSE(launch.pending);
     }
-    EXPECT_EQ(answered.size(), reached ? 1u : 0u);
-    EXPECT_EQ(unanswered.size(), reached ? 0u : 1u);
+    EXPECT_EQ(answered.size(), is_answered ? 1u : 0u);
+    EXPECT_EQ(unanswered.size(), is_answered ? 0u : 1u);
     machine("m-1").unresolved_launches.clear();
   }
 }
 
-TEST_F(CommandDispatcherTest, OnlyStopsFollowFromTheAnswerToACommand) {
+TEST_F(CommandDispatcherTest, OnlyKillsAreSentAfterTheReplyToACommand) {
   follow_up = {kill_command(0), {CommandType::forget, {"job", 1}, 1, 0}, launch_command(1)};
   dispatcher.queue("m-1", {kill_command(1)});
-  clock.run_for(kGathering);
+  clock.run_for(kBatchWait);
   client.calls.at(0).on_reply(Outcome::answered, {200, status(kToken), 0});
   EXPECT_EQ(processed, (std::vector<std::uint64_t>{5}));
-  clock.run_for(kGathering);
+  clock.run_for(kBatchWait);
   ASSERT_EQ(client.calls.size(), 2u);
   EXPECT_EQ(client.calls[1].request.body, commands({kill_command(0)}));
-  // A refusal carries the status too, but nothing follows from it at once.
+  // A 409 also contains the status, but no commands are sent in reaction to it.
   client.calls.at(1).on_reply(Outcome::answered, {409, status(kToken), 0});
   EXPECT_EQ(processed.size(), 2u);
-  clock.run_for(kGathering);
+  clock.run_for(kBatchWait);
   EXPECT_EQ(client.calls.size(), 2u);
 }
 
-TEST_F(CommandDispatcherTest, AnswerWithAHigherTokenShowsANewerLeader) {
+TEST_F(CommandDispatcherTest, ReplyWithAHigherTokenIsReportedAsANewerLeader) {
   dispatcher.queue("m-1", {kill_command(0)});
-  clock.run_for(kGathering);
+  clock.run_for(kBatchWait);
   client.calls.at(0).on_reply(Outcome::answered, {409, status(kToken + 1), 0});
-  EXPECT_EQ(superseded_by, (std::vector<std::uint64_t>{kToken + 1}));
+  EXPECT_EQ(observed_tokens, (std::vector<std::uint64_t>{kToken + 1}));
   EXPECT_TRUE(processed.empty());
 }
 
-TEST_F(CommandDispatcherTest, AnswersAfterTheTermAreIgnored) {
+TEST_F(CommandDispatcherTest, RepliesAfterTheTermAreIgnored) {
   dispatcher.launch(*job, {0});
-  clock.run_for(kGathering);
+  clock.run_for(kBatchWait);
   dispatcher.restart();
   client.calls.at(0).on_reply(Outcome::answered, {200, status(kToken), 0});
   EXPECT_TRUE(is_unresolved("m-1", 0));
@@ -257,7 +257,7 @@
   EXPECT_TRUE(processed.empty());
 }
 
-TEST_F(CommandDispatcherTest, StatusQueryIsTakenInWithoutCommands) {
+TEST_F(CommandDispatcherTest, StatusQueryReplyIsProcessedWithoutSendingCommands) {
   follow_up = {kill_command(0)};
   dispatcher.query_status(machine("m-1"));
   EXPECT_EQ(machine("m-1").inspected_at, clock.now());
@@ -267,7 +267,7 @@
   EXPECT_EQ(answered, (std::vector<std::string>{"m-1"}));
   EXPECT_EQ(processed.size(), 1u);
   EXPECT_EQ(requested_plans, 1);
-  clock.run_for(kGathering);
+  clock.run_for(kBatchWait);
   EXPECT_EQ(client.calls.size(), 1u);
 }
 
@@ -288,7 +288,7 @@
 TEST_F(CommandDispatcherTest, TokenIsRaisedAtMostEveryQuarterOfALease) {
   dispatcher.require_fencing();
   dispatcher.raise_fencing_token_if_due();
-  EXPECT_EQ(fencing_token, kToken) << "raised right after the term began";
+  EXPECT_EQ(fencing_token, kToken) << "raised too soon after the term began";
   clock.run_for(settings.lease_s / 4 + 0.01);
   dispatcher.raise_fencing_token_if_due();
   EXPECT_EQ(fencing_token, kToken + 1);
@@ -300,10 +300,10 @@
   EXPECT_EQ(fencing_token, kToken + 2);
   clock.run_for(settings.lease_s);
   dispatcher.raise_fencing_token_if_due();
-  EXPECT_EQ(fencing_token, kToken + 2) << "raised although nothing asked for it";
+  EXPECT_EQ(fencing_token, kToken + 2) << "raised without a request";
 }
 
-TEST_F(CommandDispatcherTest, LaunchUnderAnEarlierTokenNeedsNoHigherOne) {
+TEST_F(CommandDispatcherTest, LaunchUnderAnEarlierTokenDoesNotRaiseTheToken) {
   clock.run_for(settings.lease_s);
   dispatcher.require_fencing_of({kToken - 1, false, 0});
   dispatcher.raise_fencing_token_if_due();
--- a/tests/failure_tracker_test.cpp
+++ b/tests/failure_tracker_test.cpp
@@ -32,7 +32,7 @@
   FailureTracker failures{clock, cluster, settings};
 };
 
-TEST_F(FailureTrackerTest, JobBacksOffTwiceAsLongWithEachFailure) {
+TEST_F(FailureTrackerTest, JobBackoffDoublesWithEachFailure) {
   Job& job = testing::add_job(cluster, testing::spec("job"));
   for (const double expected : {1, 2, 4, 8, 16, 16, 16}) {
     failures.back_off(job);
@@ -41,7 +41,7 @@
   EXPECT_EQ(job.failures, 7);
 }
 
-TEST_F(FailureTrackerTest, ReplicaRestartsAtOnceTheFirstTime) {
+TEST_F(FailureTrackerTest, FirstRestartOfAReplicaIsImmediate) {
   Job& job = testing::add_job(cluster, testing::service("service"));
   const Placement& replica = place(job, 1, add_machine("m-0"), TaskState::running);
   failures.record_replica_exit(job, replica);
@@ -50,10 +50,10 @@
     failures.record_replica_exit(job, replica);
     EXPECT_DOUBLE_EQ(job.restarts.at(1).retry_at, clock.now() + intervals(expected));
   }
-  EXPECT_EQ(job.restarts.count(0), 0u) << "another replica was held up";
+  EXPECT_EQ(job.restarts.count(0), 0u) << "another replica was delayed";
 }
 
-TEST_F(FailureTrackerTest, RefusalKeepsTheMachineWaitingForAHeartbeatInterval) {
+TEST_F(FailureTrackerTest, RefusalBacksOffTheMachineForOneHeartbeatInterval) {
   Machine& machine = add_machine("m-0");
   failures.record_refusal(machine);
   EXPECT_DOUBLE_EQ(machine.refused_until, clock.now() + intervals(1));
@@ -80,7 +80,7 @@
   EXPECT_FALSE(machine.quarantined);
 }
 
-TEST_F(FailureTrackerTest, JobThatFailsEverywhereIsLittleEvidence) {
+TEST_F(FailureTrackerTest, JobThatFailsEverywhereDoesNotQuarantineMachines) {
   Job& job = testing::add_job(cluster, testing::spec("job", 12));
   std::uint32_t task = 0;
   for (const std::string name : {"m-0", "m-1", "m-2"}) {
@@ -104,11 +104,11 @@
   EXPECT_TRUE(machine.quarantined);
 }
 
-TEST_F(FailureTrackerTest, FailedStartsOfAJobThatStartsElsewhereDoNotHoldItUp) {
+TEST_F(FailureTrackerTest, FailedStartsQuarantineTheMachineWithoutBackingOffTheJob) {
   Machine& faulty = add_machine("m-0");
-  Machine& sound = add_machine("m-1");
+  Machine& healthy = add_machine("m-1");
   Job& job = testing::add_job(cluster, testing::spec("job", 3));
-  FailureTracker::record_start(sound, job);
+  FailureTracker::record_start(healthy, job);
   failures.record_failure(faulty, job, place(job, 0, faulty, TaskState::fetching));
   EXPECT_FALSE(faulty.quarantined);
   failures.record_failure(faulty, job, place(job, 1, faulty, TaskState::fetching));
@@ -117,7 +117,7 @@
   EXPECT_EQ(job.retry_at, 0);
 }
 
-TEST_F(FailureTrackerTest, StartBetweenFailedStartsKeepsTheMachine) {
+TEST_F(FailureTrackerTest, SuccessfulStartResetsFailedStarts) {
   Machine& machine = add_machine("m-0");
   Job& job = testing::add_job(cluster, testing::spec("job", 3));
   FailureTracker::record_start(add_machine("m-1"), job);
@@ -127,7 +127,7 @@
   EXPECT_FALSE(machine.quarantined);
 }
 
-TEST_F(FailureTrackerTest, ReplicaThatRunsForFourIntervalsIsProven) {
+TEST_F(FailureTrackerTest, ReplicaThatRunsForFourIntervalsClearsFailures) {
   Machine& machine = add_machine("m-0");
   Job& job = testing::add_job(cluster, testing::service("service"));
   Placement& replica = place(job, 0, machine, TaskState::running);
@@ -144,7 +144,7 @@
   EXPECT_EQ(machine.failures, 0);
 }
 
-TEST_F(FailureTrackerTest, ReplicaThatFailsAgainAndAgainIsNoEvidence) {
+TEST_F(FailureTrackerTest, OnlyTwoFailuresOfAReplicaCountAgainstTheMachine) {
   Machine& machine = add_machine("m-0");
   Job& job = testing::add_job(cluster, testing::service("service"));
   const Placement& replica = place(job, 0, machine, TaskState::running);
--- a/tests/job_watch_test.cpp
+++ b/tests/job_watch_test.cpp
@@ -1,4 +1,4 @@
-// The watch on the records of jobs, made alone: the test answers for the key-value store.
+// Tests JobWatch in isolation; the test answers in place of the key-value store.
 #include "coordination/recovery/job_watch.hpp"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 using transport::Outcome;
 using transport::Request;
 
-// Timers are kept and never fire: no case here waits.
+// A clock that stands still; its timers never fire.
 class StoppedClock : public transport::Clock {
  public:
   Seconds now() const override { return 1000; }
@@ -43,9 +43,9 @@
   void confirm_view(Seconds) override {}
   Seconds view_interval() const override { return 1; }
   Seconds grace_period() const override { return 0; }
-  void resign(const std::string& reason) override { resigned_for = reason; }
+  void resign(const std::string& reason) override { resign_reason = reason; }
 
-  std::string resigned_for;
+  std::string resign_reason;
 };
 
 class JobWatchTest : public ::testing::Test {
@@ -60,7 +60,7 @@
                   cancelled_.push_back(job.id());
                 },
                 [this](Job& job) { persisted_.push_back(job.id()); },
-                [this] { ++plans_requested_; }}) {
+                [this] { ++requested_plans_; }}) {
     watch_.begin_term();
   }
 
@@ -76,28 +76,28 @@
   RecordingLeadership leadership_;
   std::vector<std::string> cancelled_;
   std::vector<std::string> persisted_;
-  int plans_requested_ = 0;
+  int requested_plans_ = 0;
   JobWatch watch_;
 };
 
-TEST_F(JobWatchTest, EntersJobsWithoutAnyEffectUntilTheStateIsRecovered) {
+TEST_F(JobWatchTest, AddsJobsWithoutCallbacksUntilTheStateIsRecovered) {
   watch_.apply("job-1", record(true), 5);
   ASSERT_NE(cluster_.job("job-1"), nullptr);
   EXPECT_TRUE(cluster_.job("job-1")->cancelled);
   EXPECT_TRUE(cancelled_.empty());
-  EXPECT_EQ(plans_requested_, 0);
+  EXPECT_EQ(requested_plans_, 0);
 }
 
-TEST_F(JobWatchTest, ANewJobIsPlannedAndACancellationCarriedOut) {
+TEST_F(JobWatchTest, RequestsACycleForANewJobAndAppliesACancellation) {
   watch_.set_recovered();
   watch_.apply("job-1", record(), 5);
-  EXPECT_EQ(plans_requested_, 1);
+  EXPECT_EQ(requested_plans_, 1);
   watch_.apply("job-1", record(true), 6);
   EXPECT_EQ(cancelled_, std::vector<std::string>{"job-1"});
   EXPECT_EQ(cluster_.job("job-1")->revision, 6u);
 }
 
-TEST_F(JobWatchTest, AnOlderRecordNeverReplacesANewerOne) {
+TEST_F(JobWatchTest, IgnoresARecordOlderThanTheKnownOne) {
   watch_.set_recovered();
   watch_.apply("job-1", record(), 6);
   watch_.apply("job-1", record(true), 5);
@@ -105,24 +105,24 @@
   EXPECT_EQ(cluster_.job("job-1")->revision, 6u);
 }
 
-// The watch may be behind what this leader has written.
-TEST_F(JobWatchTest, AFinishedJobDoesNotComeBack) {
+// The watch may lag behind the writes of this leader.
+TEST_F(JobWatchTest, DoesNotAddAFinishedJobAgain) {
   watch_.set_recovered();
   watch_.job_finished("job-1", 8);
   watch_.apply("job-1", record(), 5);
   EXPECT_EQ(cluster_.job("job-1"), nullptr);
   watch_.apply("job-1", record(), 9);
-  EXPECT_NE(cluster_.job("job-1"), nullptr) << "submitted anew under the same name";
+  EXPECT_NE(cluster_.job("job-1"), nullptr) << "job resubmitted under the same id was ignored";
 }
 
-TEST_F(JobWatchTest, ARecordThatCannotBeReadIsLeftOut) {
+TEST_F(JobWatchTest, SkipsAnInvalidRecord) {
   watch_.set_recovered();
   watch_.apply("job-1", storage::Json::object(), 5);
   EXPECT_EQ(cluster_.job("job-1"), nullptr);
-  EXPECT_EQ(leadership_.resigned_for, "");
+  EXPECT_EQ(leadership_.resign_reason, "");
 }
 
-TEST_F(JobWatchTest, APeersCancellationHoldsUntilTheRecordSaysOtherwise) {
+TEST_F(JobWatchTest, RevertsAPeersCancellationThatTheRecordDoesNotContain) {
   EXPECT_FALSE(watch_.cancelled_by_peer("job-1"));
   watch_.set_recovered();
   watch_.apply("job-1", record(), 5);
@@ -140,23 +140,23 @@
   EXPECT_EQ(persisted_, std::vector<std::string>{"job-1"});
 }
 
-TEST_F(JobWatchTest, EndsTheTermWhenTheRecordIsMissing) {
+TEST_F(JobWatchTest, ResignsWhenTheRecordIsMissing) {
   watch_.set_recovered();
   watch_.apply("job-1", record(), 5);
   watch_.refresh("job-1");
   ASSERT_EQ(client_.replies.size(), 1u);
   client_.replies[0](Outcome::answered, {404, "{}"});
-  EXPECT_NE(leadership_.resigned_for, "");
+  EXPECT_NE(leadership_.resign_reason, "");
 }
 
-TEST_F(JobWatchTest, IgnoresAnswersOfAnEarlierTerm) {
+TEST_F(JobWatchTest, IgnoresRepliesOfAnEarlierTerm) {
   watch_.set_recovered();
   watch_.apply("job-1", record(), 5);
   watch_.refresh("job-1");
   ASSERT_EQ(client_.replies.size(), 1u);
   watch_.end_term();
   client_.replies[0](Outcome::answered, {404, "{}"});
-  EXPECT_EQ(leadership_.resigned_for, "");
+  EXPECT_EQ(leadership_.resign_reason, "");
 }
 
 }  // namespace
--- a/tests/machine_health_test.cpp
+++ b/tests/machine_health_test.cpp
@@ -50,11 +50,11 @@
   MachineHealth health{clock, cluster, settings, callbacks()};
 };
 
-TEST_F(MachineHealthTest, LeaseExpiresOnceAndOnlyPastClockDrift) {
+TEST_F(MachineHealthTest, LeaseExpiresOnceAfterTheClockDriftMargin) {
   Machine& machine = add_machine("m-0");
   clock.run_for(settings.lease_s);
   health.expire_leases();
-  EXPECT_FALSE(machine.lease_expired) << "the worker's clock may be behind";
+  EXPECT_FALSE(machine.lease_expired) << "expired without a margin for clock drift";
   clock.run_for(settings.lease_s * 0.001 + settings.heartbeat_interval_s / 10 + 0.001);
   health.expire_leases();
   EXPECT_TRUE(machine.lease_expired);
@@ -63,40 +63,40 @@
   EXPECT_EQ(ended, (std::vector<std::string>{"m-0"}));
 }
 
-TEST_F(MachineHealthTest, MachineThatNeverHadALeaseDoesNotLoseIt) {
+TEST_F(MachineHealthTest, MachineWithoutALeaseDoesNotExpire) {
   add_machine("m-0").lease_renewed_at = -1;
   clock.run_for(settings.lease_s * 10);
   health.expire_leases();
   EXPECT_TRUE(ended.empty());
 }
 
-TEST_F(MachineHealthTest, UnansweredCallCountsOnlyWhileHeartbeatsCome) {
+TEST_F(MachineHealthTest, UnansweredCallMarksOnlyMachinesWithRecentHeartbeats) {
   Machine& up = add_machine("m-0");
-  Machine& gone = add_machine("m-1");
+  Machine& silent = add_machine("m-1");
   clock.run_for(settings.heartbeat_interval_s * 2);
   up.last_heartbeat_at = clock.now();
   health.call_unanswered(up);
-  health.call_unanswered(gone);
+  health.call_unanswered(silent);
   EXPECT_EQ(up.unreachable_since, clock.now());
-  EXPECT_LT(gone.unreachable_since, 0);
+  EXPECT_LT(silent.unreachable_since, 0);
 }
 
-TEST_F(MachineHealthTest, AnswerEndsUnreachability) {
+TEST_F(MachineHealthTest, AnsweredCallMakesTheMachineReachable) {
   Machine& machine = add_machine("m-0");
   machine.identity_confirmed = false;
   health.call_answered(machine);
   EXPECT_TRUE(machine.identity_confirmed);
-  EXPECT_EQ(requested_plans, 0) << "it was reachable before";
-  health.suspect_unreachable(machine);
+  EXPECT_EQ(requested_plans, 0) << "requested although it was reachable before";
+  health.mark_unreachable(machine);
   health.call_answered(machine);
   EXPECT_LT(machine.unreachable_since, 0);
   EXPECT_EQ(requested_plans, 1);
 }
 
-TEST_F(MachineHealthTest, UnreachableMachineIsQueriedOnceInAHeartbeatInterval) {
+TEST_F(MachineHealthTest, UnreachableMachineIsQueriedOncePerHeartbeatInterval) {
   Machine& machine = add_machine("m-0");
   add_machine("m-1");
-  health.suspect_unreachable(machine);
+  health.mark_unreachable(machine);
   health.check_unreachable();
   health.check_unreachable();
   EXPECT_EQ(queried, (std::vector<std::string>{"m-0"}));
@@ -108,9 +108,9 @@
 
 TEST_F(MachineHealthTest, UnreachableMachineIsReleasedAfterALease) {
   Machine& machine = add_machine("m-0");
-  health.suspect_unreachable(machine);
+  health.mark_unreachable(machine);
   clock.run_for(settings.lease_s);
-  health.suspect_unreachable(machine);  // keeps the time of the first suspicion
+  health.mark_unreachable(machine);  // must not reset `unreachable_since`
   health.check_unreachable();
   EXPECT_TRUE(released.empty());
   clock.run_for(0.01);
@@ -118,11 +118,11 @@
   EXPECT_EQ(released, (std::vector<std::string>{"m-0"}));
 }
 
-TEST_F(MachineHealthTest, UnreachableMachineIsLeftAloneWhenGoneAnyway) {
+TEST_F(MachineHealthTest, ExpiredAndReleasedMachinesAreNeitherQueriedNorReleased) {
   Machine& expired = add_machine("m-0");
   Machine& being_released = add_machine("m-1");
-  health.suspect_unreachable(expired);
-  health.suspect_unreachable(being_released);
+  health.mark_unreachable(expired);
+  health.mark_unreachable(being_released);
   expired.lease_expired = true;
   being_released.being_released = true;
   clock.run_for(settings.lease_s + 1);
@@ -131,10 +131,10 @@
   EXPECT_TRUE(released.empty());
 }
 
-TEST_F(MachineHealthTest, NoMachineIsReleasedWhenAFifthAndMoreIsUnreachable) {
-  add_machines(10);  // three may be unreachable: a fifth of them and one more
+TEST_F(MachineHealthTest, NoMachineIsReleasedWhenALargeFractionIsUnreachable) {
+  add_machines(10);  // up to three unreachable ones are released: a fifth plus one
   for (const std::string name : {"m-0", "m-1", "m-2", "m-3"}) {
-    health.suspect_unreachable(cluster.machine(name));
+    health.mark_unreachable(cluster.machine(name));
   }
   clock.run_for(settings.lease_s + 1);
   health.check_unreachable();
--- a/tests/task_reconciler_test.cpp
+++ b/tests/task_reconciler_test.cpp
@@ -17,13 +17,13 @@
 
 constexpr std::uint64_t kToken = 7;
 
-/// Calls are never answered.
+/// Never answers calls.
 class SilentClient : public transport::Client {
  public:
   void call(const std::string&, transport::Request, Seconds, transport::OnReply) override {}
 };
 
-/// A machine with one task of a job, whose placement the worker holds.
+/// A machine with one task of a job, whose placement the worker has acknowledged.
 class TaskReconcilerTest : public ::testing::Test {
  protected:
   TaskReconcilerTest() {
@@ -53,7 +53,7 @@
         .persist = [this](Job&) { ++persisted; },
         .task_gone =
             [this](Job& of, std::uint32_t task, const std::string&) {
-              gone.push_back(task);
+              gone_tasks.push_back(task);
               cluster.unplace(of, task, clock.now());
             },
         .abort_gang_attempt = [](Job&, const std::string&) {},
@@ -94,7 +94,7 @@
   Placement* placement = nullptr;
   int raised_tokens = 0;
   int persisted = 0;
-  std::vector<std::uint32_t> gone;
+  std::vector<std::uint32_t> gone_tasks;
   CommandDispatcher dispatcher{clock, client, cluster, settings, dispatcher_callbacks()};
   FailureTracker failures{clock, cluster, settings};
   TaskReconciler reconciler{clock, cluster, election, dispatcher, failures, callbacks()};
@@ -116,10 +116,10 @@
   const Commands commands = reconcile({status(TaskState::running)});
   ASSERT_EQ(types_of(commands), (std::vector{CommandType::kill}));
   EXPECT_EQ(commands[0].attempt, 1u);
-  EXPECT_TRUE(gone.empty());
+  EXPECT_TRUE(gone_tasks.empty());
 }
 
-TEST_F(TaskReconcilerTest, StoppingTaskIsKilledAgainUnlessItSavesWithGrace) {
+TEST_F(TaskReconcilerTest, StoppingTaskIsKilledAgainUnlessSavingWithinItsGracePeriod) {
   placement->stopping = true;
   placement->grace_s = 5;
   EXPECT_EQ(reconcile({status(TaskState::running)}).size(), 1u);
@@ -128,28 +128,28 @@
   EXPECT_EQ(reconcile({status(TaskState::saving)}).size(), 1u);
 }
 
-TEST_F(TaskReconcilerTest, AbsentTaskIsLaunchedAgainByTheResponseToAHeartbeatOnly) {
+TEST_F(TaskReconcilerTest, AbsentTaskIsLaunchedAgainOnlyInTheResponseToAHeartbeat) {
   EXPECT_TRUE(reconcile({}, HeartbeatSource::call_answer).empty());
   EXPECT_EQ(types_of(reconcile({})), (std::vector{CommandType::launch}));
   EXPECT_EQ(placement->stage, Placement::Stage::dispatched);
   EXPECT_EQ(machine->unresolved_launches.at(key).answer_to, 3u);
-  EXPECT_TRUE(reconcile({}).empty()) << "launched again while the launch is under way";
+  EXPECT_TRUE(reconcile({}).empty()) << "launched again while the launch is unresolved";
 }
 
-TEST_F(TaskReconcilerTest, AbsentTaskThatWasStoppedIsGone) {
+TEST_F(TaskReconcilerTest, AbsentStoppingTaskIsGone) {
   placement->stopping = true;
   reconcile({}, HeartbeatSource::call_answer);
-  EXPECT_EQ(gone, (std::vector<std::uint32_t>{0}));
+  EXPECT_EQ(gone_tasks, (std::vector<std::uint32_t>{0}));
 }
 
-TEST_F(TaskReconcilerTest, AbsentStoppedTaskIsNotGoneWhileALaunchMayStillArrive) {
+TEST_F(TaskReconcilerTest, AbsentStoppingTaskIsNotGoneWhileALaunchIsUnresolved) {
   placement->stopping = true;
   machine->unresolved_launches[key] = {kToken, true, 0};
   reconcile({});
-  EXPECT_FALSE(is_fencing_required()) << "the answer to the launch may still come";
+  EXPECT_FALSE(is_fencing_required()) << "required while the launch call is still pending";
   machine->unresolved_launches[key].pending = false;
   reconcile({});
-  EXPECT_TRUE(gone.empty());
+  EXPECT_TRUE(gone_tasks.empty());
   EXPECT_TRUE(is_fencing_required());
 }
 
@@ -157,10 +157,10 @@
   placement->recovered = true;
   machine->unresolved_launches[key] = {kToken - 1, false, 0};
   EXPECT_TRUE(reconcile({}).empty());
-  EXPECT_TRUE(gone.empty());
+  EXPECT_TRUE(gone_tasks.empty());
   machine->unresolved_launches.clear();
   EXPECT_TRUE(reconcile({}).empty());
-  EXPECT_EQ(gone, (std::vector<std::uint32_t>{0}));
+  EXPECT_EQ(gone_tasks, (std::vector<std::uint32_t>{0}));
 }
 
 TEST_F(TaskReconcilerTest, CompletedTaskIsForgottenOnceItsResultIsDurable) {
@@ -172,11 +172,11 @@
             (std::vector{CommandType::forget}));
 }
 
-TEST_F(TaskReconcilerTest, ExitedTaskIsRetainedUntilTheWorkerSawAHigherToken) {
+TEST_F(TaskReconcilerTest, ExitedTaskIsRetainedUntilTheWorkerHasSeenAHigherToken) {
   machine->direct_launches[key] = kToken;
   machine->seen_fencing_token = kToken;
   EXPECT_TRUE(reconcile({status(TaskState::exited, ExitCause::stopped)}).empty());
-  EXPECT_EQ(gone, (std::vector<std::uint32_t>{0}));
+  EXPECT_EQ(gone_tasks, (std::vector<std::uint32_t>{0}));
   EXPECT_EQ(machine->retained_exits, 1);
   EXPECT_FALSE(is_fencing_required());
   machine->seen_fencing_token = kToken + 1;
@@ -199,13 +199,13 @@
   EXPECT_TRUE(is_fencing_required());
 }
 
-TEST_F(TaskReconcilerTest, NewIncarnationEndsWhatRanUnderEarlierOnes) {
+TEST_F(TaskReconcilerTest, NewIncarnationEndsTasksOfEarlierOnes) {
   cluster.place(*job, 1, *machine, 1, clock.now());  // its record is not durable yet
   machine->unresolved_launches[key] = {kToken, true, 0};
   reconciler.end_incarnations_before(*machine, 1);
   EXPECT_EQ(job->placements.size(), 2u);
   reconciler.end_incarnations_before(*machine, 2);
-  EXPECT_EQ(gone, (std::vector<std::uint32_t>{0}));
+  EXPECT_EQ(gone_tasks, (std::vector<std::uint32_t>{0}));
   EXPECT_TRUE(job->placements.empty());
   EXPECT_TRUE(machine->unresolved_launches.empty());
 }
