--- a/src/coordination/workers/task_reconciler.cpp
+++ b/src/coordination/workers/task_reconciler.cpp
@@ -183,7 +183,7 @@
   }
   callbacks_.task_gone(job, task.id.task, cause);
   // A gang's attempt ends with the exit of any of its tasks. The worker remembers the attempt, so
-  // launching it there again would have no effect; all members restart under the next attempt.
+  // launching it there again would have no effect; unfinished members restart under the next one.
   if (has_several_members(job.spec)) callbacks_.abort_gang_attempt(job, cause);
 }
 
