--- a/src/coordination/controller/controller.cpp
+++ b/src/coordination/controller/controller.cpp
@@ -17,12 +17,13 @@
 namespace larkroad::coordination {
 namespace {
 
-// A controller that the key-value store has not answered for this part of the workers' lease sends
-// users to its peers, if the store answers one of them. Shorter failures pass with a few answers of
-// 503.
+// Fraction of the worker lease after which a controller without an answer from the key-value store
+// reports itself unhealthy, provided that the store still answers a peer. Shorter failures only
+// cost users a few 503 responses.
 constexpr double kUnhealthyRatio = 1.0 / 8;
-// The leader's share of the store's rate limits; its peers divide the rest. Placements and
-// completions are many more writes than submissions and cancellations.
+// The leader's share of the store's rate limits; the followers split the rest evenly. The leader
+// gets most of the write quota because placements and completions cause far more writes than
+// submissions and cancellations.
 constexpr double kLeaderRequestShare = 0.5;
 constexpr double kLeaderWriteShare = 0.65;
 
@@ -61,9 +62,9 @@
       relay_(clock, client, store_relay_client_, settings),
       heartbeat_router_(clock, settings,
                         {store_, election_, leader_, relay_, versions_, peers_, announcements_}),
-      gossip_(clock, client, settings,
-              {store_, election_, leader_, relay_, user_api_, heartbeat_router_, versions_, peers_,
-               announcements_}),
+      status_exchange_(clock, client, settings,
+                       {store_, election_, leader_, relay_, user_api_, heartbeat_router_, versions_,
+                        peers_, announcements_}),
       cancellations_(clock, client, settings) {
   connect_components();
 }
@@ -75,8 +76,8 @@
   };
   user_api_.services_known = [this] { return versions_.all_understand(kServicesVersion); };
   user_api_.healthy = [this] { return is_healthy(); };
-  catalog_.set_on_change([this] { leader_.types_changed(); });
-  heartbeat_router_.set_on_distribution_changed([this] { gossip_.send_status(); });
+  catalog_.set_on_change([this] { leader_.update_machine_types(); });
+  heartbeat_router_.set_on_distribution_changed([this] { status_exchange_.send_status(); });
 }
 
 void Controller::start() {
@@ -88,13 +89,13 @@
 
 void Controller::on_elected() {
   apply_rate_limit_share(Role::leader);
-  leader_.begin(announcements_.workers_distributed());
+  leader_.begin_term(announcements_.workers_distributed());
   store_relay_server_.begin();
 }
 
 void Controller::on_deposed() {
   apply_rate_limit_share(Role::follower);
-  leader_.end();
+  leader_.end_term();
   store_relay_server_.end();
 }
 
@@ -112,14 +113,14 @@
 bool Controller::is_healthy() const {
   if (!store_.answered_ever() || !catalog_.known()) return false;
   if (store_.failing_for() < settings_.lease_s * kUnhealthyRatio) return true;
-  // In an outage of the store no peer could serve users better.
+  // During a store outage no peer can serve users any better, so stay healthy.
   return !peers_.any_has_store(clock_.now());
 }
 
 void Controller::run_periodic_tasks() {
-  clock_.after(gossip_.interval(), [this] { run_periodic_tasks(); });
+  clock_.after(status_exchange_.interval(), [this] { run_periodic_tasks(); });
   step_down_if_unreachable();
-  gossip_.send_status();
+  status_exchange_.send_status();
 }
 
 void Controller::step_down_if_unreachable() {
@@ -128,7 +129,7 @@
   if (unreachable_leader_watch_.should_step_down(leader_.newest_heartbeat_at(),
                                                  peers_.any_receives_heartbeats(now), now)) {
     election_.step_down("workers reach its peers but not this controller",
-                        unreachable_leader_watch_.abstention());
+                        unreachable_leader_watch_.campaign_pause());
   }
 }
 
@@ -162,7 +163,7 @@
   } else if (request.target == protocol::kCancellationPath) {
     handle_cancellation(request.body, respond);
   } else {
-    gossip_.handle_status(request.body);
+    status_exchange_.handle_status(request.body);
     respond({200, "{}", 0});
   }
 }
@@ -172,8 +173,9 @@
   if (!peers_.is_peer(notice.member)) {
     throw protocol::Malformed("a cancellation from no peer: " + notice.member);
   }
-  // A leader past its lease stops the tasks as well: it writes nothing on the strength of a notice.
-  if (election_.holds() && !leader_.cancelled_by_peer(notice.job)) {
+  // A leader whose lease has expired also stops the tasks. This is safe because a notice alone
+  // never causes a write.
+  if (election_.holds_leader_key() && !leader_.cancelled_by_peer(notice.job)) {
     respond({400, protocol::encode_error("no such job here"), 0});
     return;
   }
--- a/src/coordination/controller/controller.hpp
+++ b/src/coordination/controller/controller.hpp
@@ -1,7 +1,7 @@
-/// One controller process: its components, wired together, and the dispatch of requests to them.
+/// A controller process: creates and connects its components and dispatches requests to them.
 ///
-/// Created by `main` (and by the tests' simulation), which passes on what arrives at the two
-/// listening sockets. Everything runs on the one thread of the event loop.
+/// Created by `main` and by the simulation in the tests, which pass in the requests received on the
+/// client and the peer socket. Everything runs on the single event loop thread.
 #pragma once
 
 #include <string>
@@ -30,20 +30,21 @@
 
 class Controller {
  public:
-  /// `clock`, `client` and `settings` outlive the controller.
+  /// `clock`, `client` and `settings` must outlive the controller.
   Controller(transport::Clock& clock, transport::Client& client, const Settings& settings);
 
-  /// Begins to take part: in the election, and in the exchange of status with the peers.
+  /// Joins the leader election and starts the periodic status exchange with peers.
   void start();
 
-  /// A request of a user, a worker or the load balancer.
+  /// Handles a request from a user, a worker or the load balancer.
   void handle_client(transport::Request request, transport::Respond respond);
-  /// A request of another controller.
+  /// Handles a request from another controller.
   void handle_peer(transport::Request request, transport::Respond respond);
 
   const Election& election() const { return election_; }
   const MemberVersions& versions() const { return versions_; }
-  /// Whether workers are distributed over all controllers, as far as this one knows.
+  /// Whether workers send heartbeats to all controllers, according to the latest announcement known
+  /// here.
   bool workers_distributed() const { return announcements_.workers_distributed(); }
 
  private:
@@ -52,16 +53,18 @@
   void on_elected();
   void on_deposed();
   void connect_components();
-  /// Takes this controller's share of the key-value store's rate limits.
+  /// Limits this controller to its role's share of the key-value store's rate limits.
   void apply_rate_limit_share(Role role);
-  /// Whether users are served here at least as well as by a peer: the answer to the load balancer.
+  /// Health check result for the load balancer: whether this controller serves users at least as
+  /// well as its peers.
   bool is_healthy() const;
 
-  /// Exchanges status with the peers, and checks whether a peer would be the better leader.
+  /// Sends the status to peers and, as the leader, checks whether to step down because workers
+  /// reach only the peers.
   void run_periodic_tasks();
   void step_down_if_unreachable();
 
-  /// Throws when the request is malformed or its sender is no peer.
+  /// Throws if the request is malformed or its sender is not a peer.
   void dispatch_peer_request(const transport::Request& request, const transport::Respond& respond);
   void handle_cancellation(const std::string& body, const transport::Respond& respond);
 
@@ -81,7 +84,7 @@
   StoreRelayServer store_relay_server_;
   Relay relay_;
   HeartbeatRouter heartbeat_router_;
-  PeerGossip gossip_;
+  PeerGossip status_exchange_;
   CancellationNotifier cancellations_;
 };
 
--- a/src/coordination/controller/heartbeat_router.cpp
+++ b/src/coordination/controller/heartbeat_router.cpp
@@ -9,8 +9,8 @@
 namespace larkroad::coordination {
 namespace {
 
-// A leader that is still loading holds a heartbeat back for this part of the heartbeat interval at
-// most, and tries it again so many times meanwhile.
+// A leader that is still loading its records delays a heartbeat by at most this fraction of the
+// heartbeat interval, and retries it this many times in that period.
 constexpr double kLoadingWaitRatio = 1.0 / 5;
 constexpr double kLoadingRetries = 20;
 
@@ -50,8 +50,8 @@
 
 void HeartbeatRouter::process_as_leader(const PendingHeartbeat& pending) {
   pending.respond(components_.leader.handle_heartbeat(pending.heartbeat));
-  // Past its lease the leader announces nothing, so it would find the change again with each
-  // heartbeat.
+  // A leader whose lease has expired sends no announcements. Without this check it would detect the
+  // same change again on every heartbeat.
   if (components_.election.is_leader() &&
       components_.leader.relay_assignment().distributes_workers() !=
           components_.announcements.last_sent()) {
@@ -83,7 +83,7 @@
 
 void HeartbeatRouter::handle_stored_batch(const protocol::RelayBatch& batch,
                                           transport::Respond respond) {
-  // Written by this controller itself while another one was the leader.
+  // This controller wrote the batch itself while another one was the leader.
   if (batch.member == settings_.member) return;
   if (!components_.peers.is_peer(batch.member)) {
     throw protocol::Malformed("no peer: " + batch.member);
@@ -116,7 +116,7 @@
   } else {
     relay.set_leader(election.leader(), election.leader_revision());
   }
-  // A leader of the first version would not look for batches in the store.
+  // A leader that runs the first version does not read batches from the store.
   relay.allow_store_route(components_.store.failing_for() == 0 &&
                           components_.versions.all_understand(kServicesVersion));
 }
--- a/src/coordination/controller/heartbeat_router.hpp
+++ b/src/coordination/controller/heartbeat_router.hpp
@@ -1,9 +1,9 @@
-/// Decides what becomes of a worker's heartbeat: the leader processes it, a follower relays it to
-/// the leader or redirects the worker.
+/// Routes worker heartbeats: the leader processes them, a follower relays them to the leader or
+/// redirects the worker.
 ///
-/// Called by `Controller` for heartbeats that workers send and for batches that peers relay, the
-/// latter directly or by way of the key-value store. Only the leader's answer renews a worker's
-/// lease, so a follower never answers 200 by itself.
+/// Called by `Controller` for heartbeats received from workers and for batches relayed by peers,
+/// either directly or through the key-value store. Only the leader's answer renews a worker's
+/// lease, so a follower never answers 200 on its own.
 #pragma once
 
 #include <functional>
@@ -28,7 +28,7 @@
 
 class HeartbeatRouter {
  public:
-  /// What the router decides by and hands heartbeats to. All of it outlives the router.
+  /// Components that the router queries and dispatches heartbeats to. All must outlive the router.
   struct Components {
     storage::KeyValueClient& store;
     Election& election;
@@ -41,32 +41,32 @@
 
   HeartbeatRouter(transport::Clock& clock, const Settings& settings, Components components);
 
-  /// Called when the leader begins or ends to distribute workers over all controllers. Peers must
-  /// know at once that workers stay with them from now on, or they would redirect to this
-  /// controller those that it redirects to them.
+  /// The callback runs when the leader starts or stops distributing workers over all controllers.
+  /// Peers must learn of a change immediately: a peer that does not know that it is to keep its
+  /// workers would redirect them back to the leader, which redirects them to the peer again.
   void set_on_distribution_changed(std::function<void()> callback) {
     on_distribution_changed_ = std::move(callback);
   }
 
-  /// A worker's own request to this controller.
+  /// Handles a heartbeat request that a worker sent directly to this controller.
   void handle_request(transport::Request request, transport::Respond respond);
-  /// A batch that a peer has relayed. Throws `protocol::Malformed` if its sender is no peer.
+  /// Handles a batch relayed by a peer. Throws `protocol::Malformed` if the sender is not a peer.
   void handle_relayed_batch(const protocol::RelayBatch& batch, transport::Respond respond);
-  /// The same for a batch that came by way of the key-value store.
+  /// Handles a batch relayed through the key-value store. Throws as above.
   void handle_stored_batch(const protocol::RelayBatch& batch, transport::Respond respond);
 
-  /// Points the relay at the present leader: the one that the key-value store names, or a newer one
-  /// that has announced itself.
+  /// Sets the relay's target to the current leader: the one recorded in the key-value store, or a
+  /// newer one known from its announcement.
   void update_relay_target();
-  /// Whether a worker has sent a heartbeat to this controller within a heartbeat interval.
+  /// Whether a worker sent a heartbeat to this controller within the last heartbeat interval.
   bool receives_heartbeats() const;
 
  private:
   struct PendingHeartbeat {
-    std::string payload;  // as the worker sent it
+    std::string payload;  // the request body as received
     protocol::Heartbeat heartbeat;
     transport::Respond respond;
-    Seconds loading_deadline = 0;  // waits no longer for a leader that is still loading
+    Seconds loading_deadline = 0;  // latest time to wait for the leader to load its records
   };
   struct PendingBatch {
     protocol::RelayBatch batch;
@@ -80,8 +80,8 @@
   void relay_or_redirect(PendingHeartbeat pending);
   void process_batch(PendingBatch pending);
   Seconds loading_deadline() const;
-  /// Whether this leader still reads its records. It has its workers wait a little for that, as
-  /// another controller could not serve them either.
+  /// Whether to delay a heartbeat because this leader is still loading its records. A redirect
+  /// would not help, as no other controller could answer either.
   bool must_wait_for_loading(Seconds deadline) const;
   void retry_after_loading_pause(std::function<void()> retry);
 
--- a/src/coordination/controller/peer_gossip.cpp
+++ b/src/coordination/controller/peer_gossip.cpp
@@ -8,9 +8,10 @@
 namespace larkroad::coordination {
 namespace {
 
-// How often a status is sent, as a part of the heartbeat interval.
+// Interval between status messages, as a fraction of the heartbeat interval.
 constexpr double kIntervalRatio = 1.0 / 3;
-// Progress is for display only: a longer list is cut, as the peer would refuse the whole message.
+// A longer list of jobs is truncated, because a peer would reject a message over the body limit.
+// Nothing but the display of progress depends on it.
 constexpr std::size_t kMaxReportedJobs = transport::kBodyLimit / 64;
 
 using ProgressByJob = std::unordered_map<std::string, UserApi::Progress>;
@@ -76,11 +77,11 @@
 void PeerGossip::handle_status(const std::string& body) {
   const protocol::PeerStatus status = protocol::parse_peer_status(body);
   const Seconds now = clock_.now();
-  // The first version does not say which one it is.
+  // The first version sends no version field.
   components_.versions.peer_reported(status.member, status.version.value_or(kFirstVersion));
   components_.peers.observe(status, now);
   components_.election.observe_fencing_token(status.fencing_token);
-  if (components_.election.holds() && status.relays_to == settings_.member) {
+  if (components_.election.holds_leader_key() && status.relays_to == settings_.member) {
     components_.leader.relay_assignment().record_relay(status.member, now);
   }
   observe_leader_announcement(status);
--- a/src/coordination/controller/peer_gossip.hpp
+++ b/src/coordination/controller/peer_gossip.hpp
@@ -1,8 +1,8 @@
-/// Exchange of status between controllers: what this one reports of itself, and what becomes of the
-/// reports of its peers.
+/// Status exchange between controllers: sends this controller's status to all peers and passes
+/// their status messages to the components concerned.
 ///
-/// Owned by `Controller`, which has it send periodically. A status is information only: nothing
-/// durable depends on it, so a lost or late one does no harm.
+/// Owned by `Controller`, which triggers sending periodically. Status is advisory: no durable state
+/// depends on it, so lost or late messages are harmless.
 #pragma once
 
 #include <string>
@@ -25,7 +25,7 @@
 
 class PeerGossip {
  public:
-  /// What a status is composed of and what a peer's status is handed to. All of it outlives this.
+  /// Sources of the own status and receivers of peer status. All must outlive this object.
   struct Components {
     storage::KeyValueClient& store;
     Election& election;
@@ -41,16 +41,16 @@
   PeerGossip(transport::Clock& clock, transport::Client& client, const Settings& settings,
              Components components);
 
-  /// How often a status is to be sent.
+  /// The interval at which `send_status` is to be called.
   Seconds interval() const;
-  /// Sends the present status to every peer, once.
+  /// Sends the current status to every peer once.
   void send_status();
-  /// Takes in a peer's status. Throws `protocol::Malformed`.
+  /// Processes a peer's status message. Throws `protocol::Malformed`.
   void handle_status(const std::string& body);
 
  private:
   protocol::PeerStatus own_status();
-  /// Adds what only the leader reports, and takes note of having announced it.
+  /// Adds the fields that only the leader reports and records that they were announced.
   void add_leader_status(protocol::PeerStatus& status);
   void observe_leader_announcement(const protocol::PeerStatus& status);
   void observe_job_progress(const protocol::PeerStatus& status);
--- a/src/coordination/election/election.cpp
+++ b/src/coordination/election/election.cpp
@@ -12,23 +12,24 @@
 
 using storage::RequestPriority;
 
-// Intervals, as parts of the leader's lease.
+// Intervals, as fractions of the leader lease.
 constexpr double kRenewRatio = 1.0 / 4;
 constexpr double kRetryRatio = 1.0 / 16;
 constexpr double kViewRatio = 1.0 / 4;
-// For how many of its leases a leader with an overdue view leaves the election to its peers.
-constexpr double kOverdueViewAbstention = 2;
-// As a precondition: the key must not exist.
-constexpr std::uint64_t kNoKey = 0;
+// Number of leader leases for which a leader that stepped down for an overdue job view does not
+// campaign.
+constexpr double kOverdueViewPauseLeases = 2;
+// Revision used as a precondition that the key does not exist.
+constexpr std::uint64_t kKeyAbsent = 0;
 
 }  // namespace
 
 Election::Election(transport::Clock& clock, storage::KeyValueClient& store,
-                   const Settings& settings, Events events)
+                   const Settings& settings, Callbacks callbacks)
     : clock_(clock),
       store_(store),
       settings_(settings),
-      events_(std::move(events)),
+      callbacks_(std::move(callbacks)),
       lease_duration_(LeaderLease::duration(settings)),
       term_scope_(clock) {}
 
@@ -48,7 +49,7 @@
 
 Seconds Election::view_interval() const { return lease_duration_ * kViewRatio; }
 
-// ------------------------------------------------------------ following the leader key
+// ------------------------------------------------------------ watching the leader key
 
 void Election::read_leader_key() {
   store_.get(
@@ -69,8 +70,8 @@
 }
 
 void Election::watch_leader_key() {
-  // Blocks for one lease only: a watch whose answer is lost must not hide a change of the leader
-  // for long.
+  // The watch blocks for at most one lease, so that a lost reply does not hide a leader change for
+  // longer than that.
   store_.watch(storage::kLeaderKey, watched_revision_, lease_duration_,
                [this](const storage::WatchReply& reply) { handle_watch_reply(reply); });
 }
@@ -89,7 +90,7 @@
 void Election::handle_watch_events(const storage::WatchReply& reply) {
   watched_revision_ = std::max(watched_revision_, reply.revision);
   if (reply.events.empty()) {
-    if (leader_.empty()) campaign(kNoKey);
+    if (leader_.empty()) campaign(kKeyAbsent);
     return;
   }
   const storage::Event& last = reply.events.back();
@@ -113,23 +114,24 @@
     }
     return;
   }
-  // A key of an earlier process of this member: that process has ended, so nobody else can act
-  // under the key, and it can be replaced before its lease expires.
+  // The key was written by an earlier process of this member. That process has exited and nobody
+  // else can act under the key, so it can be replaced before its lease expires.
   if (own_member) campaign(revision);
 }
 
 void Election::observe_no_leader() {
   leader_.clear();
   end_term("the leader key was deleted");
-  campaign(kNoKey);
+  campaign(kKeyAbsent);
 }
 
-// ------------------------------------------------------------ becoming the leader
+// ------------------------------------------------------------ campaigning
 
 void Election::campaign(std::uint64_t replaced_revision) {
-  // Whatever stops a campaign, the next reply to the watch brings another chance.
+  // Campaigns that are skipped or fail need no retry timer: the next watch reply starts another
+  // one.
   if (candidacy_ || term_) return;
-  if (abstains_until_ && clock_.now() < *abstains_until_) return;
+  if (campaign_paused_until_ && clock_.now() < *campaign_paused_until_) return;
   candidacy_ = Candidacy{clock_.now()};
   store_.grant(lease_duration_, [this, replaced_revision](Status status, std::uint64_t lease_id) {
     if (status != Status::ok) {
@@ -160,8 +162,8 @@
     begin_term(candidacy, reply.revision);
     return;
   }
-  // Lost, or not known and the lease has expired: a late copy of the write then fails for want of
-  // its lease, or creates a key that ends with it.
+  // Either the campaign was lost, or its outcome is unknown and the lease has expired. A late copy
+  // of the write then fails because the lease is gone, or creates a key that is deleted with it.
   store_.release(candidacy.lease_id);
 }
 
@@ -171,11 +173,11 @@
   leader_ = settings_.member;
   leader_revision_ = std::max(leader_revision_, revision);
   spdlog::info("leader elected: token={}", revision);
-  events_.elected();
+  callbacks_.on_elected();
   term_scope_.after(lease_duration_ * kRenewRatio, [this] { renew_lease(); });
 }
 
-// ------------------------------------------------------------ staying the leader
+// ------------------------------------------------------------ renewing the lease
 
 void Election::renew_lease() {
   if (!term_) return;
@@ -188,7 +190,7 @@
 void Election::handle_renewal(Status status, Seconds sent_at) {
   if (status == Status::missing) {
     end_term("its lease has expired");
-    campaign(kNoKey);
+    campaign(kKeyAbsent);
     return;
   }
   if (status != Status::ok) {
@@ -199,15 +201,15 @@
   if (holds_lease()) {
     term_->lease.renewed(sent_at);
   } else {
-    // Past its lease by this controller's clock, yet the lease is alive: after an outage the store
-    // gives every lease its full time again. The leader acts again once it has seen that the key is
-    // still its own.
+    // The lease has expired by this controller's clock but is still alive in the store, which
+    // restarts the full duration of every lease after an outage. The leader may act again once it
+    // has verified that it still owns the key.
     verify_leader_key();
   }
   term_->lease.renewal_answered(sent_at);
   if (term_->lease.is_view_overdue(sent_at)) {
     step_down("its watch on the jobs is not answered, though its lease is renewed",
-              lease_duration_ * kOverdueViewAbstention);
+              lease_duration_ * kOverdueViewPauseLeases);
     return;
   }
   schedule_renewal(lease_duration_ * kRenewRatio, sent_at);
@@ -226,7 +228,7 @@
       storage::kLeaderKey,
       [this, sent_at, is_current = term_scope_.is_current()](Status status,
                                                              const storage::Entry& entry) {
-        verification_in_flight_ = false;  // also when its term has ended meanwhile
+        verification_in_flight_ = false;  // even if the term has ended meanwhile
         if (is_current()) handle_verification(status, entry.revision, sent_at);
       },
       RequestPriority::lease);
@@ -234,8 +236,8 @@
 
 void Election::handle_verification(Status status, std::uint64_t revision, Seconds sent_at) {
   if (status == Status::ok && revision == term_->fencing_token) {
-    // The key was there after `sent_at`. This renewal proves that its lease has not expired since,
-    // so the key was its own all the time from then on.
+    // The key existed after `sent_at`. A successful renewal now shows that the lease has not
+    // expired since, so this controller has owned the key continuously from then on.
     store_.extend(term_->lease_id, term_scope_.wrap([this, sent_at](Status renewed) {
       if (renewed != Status::ok) return;
       spdlog::info("leader lease confirmed: token={}", term_->fencing_token);
@@ -245,7 +247,7 @@
     end_term("the leader key is no longer its own");
   } else if (status == Status::missing) {
     end_term("the leader key is no longer its own");
-    campaign(kNoKey);
+    campaign(kKeyAbsent);
   }
 }
 
@@ -284,9 +286,9 @@
 
 void Election::resign(const std::string& reason) { end_term(reason); }
 
-void Election::step_down(const std::string& reason, Seconds abstention) {
+void Election::step_down(const std::string& reason, Seconds campaign_pause) {
   if (!term_) return;
-  abstains_until_ = clock_.now() + abstention;
+  campaign_paused_until_ = clock_.now() + campaign_pause;
   end_term(reason);
 }
 
@@ -298,10 +300,10 @@
   term_.reset();
   if (leader_ == settings_.member) leader_.clear();
   store_.release(lease_id);
-  events_.deposed();
+  callbacks_.on_deposed();
 }
 
-// ------------------------------------------------------------ the leader's record
+// ------------------------------------------------------------ the leader record
 
 storage::Json Election::leader_record(std::uint64_t lease_id) const {
   return {{"member", settings_.member}, {"lease", lease_id}};
--- a/src/coordination/election/election.hpp
+++ b/src/coordination/election/election.hpp
@@ -1,12 +1,12 @@
-/// Election of the leader: one key under a lease in the key-value store.
+/// Leader election, based on a single key with a lease in the key-value store.
 ///
-/// The revision at which the key was created is the leader's fencing token: workers refuse commands
-/// under a lower one, and each write of a leader is conditional on it. A term of leadership begins
-/// when this controller creates (or replaces) the key and ends when the key is lost, when a higher
-/// fencing token is observed, or when the leader gives up by itself. `LeaderLease` has the time
-/// bounds within a term.
+/// The revision at which the key was written is the leader's fencing token: workers reject commands
+/// with a lower token, and every write of the leader is conditional on it. A term begins when this
+/// controller creates or replaces the key. It ends when the key is lost, when a higher fencing
+/// token is observed, or when the leader resigns. `LeaderLease` implements the time bounds within a
+/// term.
 ///
-/// Owned by `Controller`; `Leader` asks before each action whether it may still act.
+/// Owned by `Controller`; `Leader` checks before each action whether it may still act.
 #pragma once
 
 #include <cstdint>
@@ -28,48 +28,50 @@
 class Election {
  public:
   /// Called at the beginning and at the end of a term.
-  struct Events {
-    std::function<void()> elected;
-    std::function<void()> deposed;
+  struct Callbacks {
+    std::function<void()> on_elected;
+    std::function<void()> on_deposed;
   };
 
   Election(transport::Clock& clock, storage::KeyValueClient& store, const Settings& settings,
-           Events events);
+           Callbacks callbacks);
 
-  /// Begins to watch the leader key, and to campaign whenever nobody holds it.
+  /// Starts watching the leader key and campaigns whenever nobody holds it.
   void start();
 
   /// Whether this controller may act as the leader now.
   bool is_leader() const;
-  /// Whether this controller holds the leader key as far as it knows, though perhaps past its
-  /// lease.
-  bool holds() const { return term_.has_value(); }
-  /// Whether heartbeats may be answered: longer than the leader may act, see `LeaderLease`.
+  /// Whether this controller is in a term, that is, holds the leader key as far as it knows. Its
+  /// lease may have expired.
+  bool holds_leader_key() const { return term_.has_value(); }
+  /// Whether heartbeats may be answered, which is allowed for longer than acting, see
+  /// `LeaderLease`.
   bool may_answer_heartbeats() const;
-  /// The leader has read, in answer to a call sent at that time, all changes of the jobs that were
-  /// recorded by then. A renewal alone proves nothing of the kind, as the watch may be late.
+  /// Records that the leader has read all job changes stored up to `sent`, the time at which the
+  /// call that returned them was sent. A lease renewal does not show this, as the watch may lag.
   void confirm_view(Seconds sent);
-  /// How long a watch may block before it confirms the view anew, to keep it fresh enough to act.
+  /// How long a job watch may block, so that its reply confirms the job view before it gets too
+  /// stale to act on.
   Seconds view_interval() const;
-  /// How long after its last renewal a deposed leader may still have answered a heartbeat.
+  /// How long after its last renewal a deposed leader may still have answered heartbeats.
   Seconds grace_period() const { return LeaderLease::grace_period(settings_); }
 
-  /// The fencing token of this controller's term; 0 when it has none.
+  /// The fencing token of this controller's current term; 0 if there is none.
   std::uint64_t fencing_token() const { return term_ ? term_->fencing_token : 0; }
-  /// The member that leads as far as the store has shown; empty when not known.
+  /// The leader according to the latest leader key seen; empty if unknown.
   const std::string& leader() const { return leader_; }
-  /// The newest revision of the leader key that has been seen.
+  /// The newest revision of the leader key seen so far.
   std::uint64_t leader_revision() const { return leader_revision_; }
 
-  /// Rewrites the key for a higher fencing token, which invalidates every command sent under the
-  /// present one. Does nothing past the lease or while another such write is in flight.
+  /// Rewrites the key to obtain a higher fencing token, which invalidates every command sent with
+  /// the current one. Does nothing if the lease has expired or such a write is in flight.
   void raise_fencing_token();
-  /// Ends the term if the token, seen by a worker or reported by a peer, is a newer leader's.
+  /// Ends the term if the token, reported by a worker or a peer, is higher than this term's.
   void observe_fencing_token(std::uint64_t fencing_token);
-  /// Ends the term, to start anew from what is recorded.
+  /// Ends the term, so that the next one reloads its state from the store.
   void resign(const std::string& reason);
-  /// Ends the term and leaves the election to the peers for this long.
-  void step_down(const std::string& reason, Seconds abstention);
+  /// Ends the term and does not campaign for the given time, so that a peer is elected.
+  void step_down(const std::string& reason, Seconds campaign_pause);
 
  private:
   struct Term {
@@ -89,7 +91,7 @@
 
   bool holds_lease() const;
 
-  // Following the leader key.
+  // Watching the leader key.
   void read_leader_key();
   void watch_leader_key();
   void handle_watch_reply(const storage::WatchReply& reply);
@@ -97,13 +99,13 @@
   void observe_leader(std::uint64_t revision, const storage::Json& data);
   void observe_no_leader();
 
-  // Becoming the leader. `replaced_revision`: of the key that is to be replaced, 0 for none.
+  // Campaigning. `replaced_revision`: revision of the key to replace, 0 if there is no key.
   void campaign(std::uint64_t replaced_revision);
   void write_leader_key(std::uint64_t replaced_revision);
   void handle_campaign_reply(const storage::CommitReply& reply);
   void begin_term(const Candidacy& candidacy, std::uint64_t revision);
 
-  // Staying the leader.
+  // Renewing the lease and the fencing token.
   void renew_lease();
   void handle_renewal(Status status, Seconds sent_at);
   void schedule_renewal(Seconds pause, Seconds sent_at);
@@ -119,16 +121,16 @@
   transport::Clock& clock_;
   storage::KeyValueClient& store_;
   const Settings& settings_;
-  Events events_;
+  Callbacks callbacks_;
   Seconds lease_duration_;
   std::optional<Term> term_;
-  transport::CallbackScope term_scope_;  // of timers and replies that belong to the present term
+  transport::CallbackScope term_scope_;  // timers and replies of the current term
   std::optional<Candidacy> candidacy_;
-  std::optional<Seconds> abstains_until_;
+  std::optional<Seconds> campaign_paused_until_;
   bool verification_in_flight_ = false;
   std::string leader_;
   std::uint64_t leader_revision_ = 0;
-  std::uint64_t watched_revision_ = 0;  // changes of the leader key are known up to this one
+  std::uint64_t watched_revision_ = 0;  // changes of the leader key are known up to here
 };
 
 }  // namespace larkroad::coordination
--- a/src/coordination/election/leader_lease.cpp
+++ b/src/coordination/election/leader_lease.cpp
@@ -5,14 +5,15 @@
 namespace larkroad::coordination {
 namespace {
 
-constexpr double kDurationRatio = 1.0 / 6;  // of the workers' lease
-// A view that stays unconfirmed for so many of the leader's leases is overdue.
-constexpr double kViewPatience = 4;
-// Steady clocks drift apart by up to 0.05%; twice that, and a step of a timer, is kept as a margin.
-constexpr double kDrift = 0.001;
-constexpr Seconds kTimerStep = 0.02;
-// What is kept free, as a part of the workers' lease, between the end of the last worker's lease
-// that a leader past its own has renewed and the cancellation limit.
+constexpr double kDurationRatio = 1.0 / 6;  // fraction of the worker lease
+// A job view that stays unconfirmed for more than this many leader leases is overdue.
+constexpr double kViewTimeoutLeases = 4;
+// Steady clocks drift by up to 0.05% relative to each other. The safety margin is twice that, plus
+// the timer resolution.
+constexpr double kClockDrift = 0.001;
+constexpr Seconds kTimerResolution = 0.02;
+// Safety margin, as a fraction of the worker lease, between the cancellation limit and the expiry
+// of the last worker lease that a leader with an expired lease of its own has renewed.
 constexpr double kGraceMargin = 0.15;
 
 }  // namespace
@@ -22,7 +23,7 @@
 }
 
 Seconds LeaderLease::grace_period(const Settings& settings) {
-  const Seconds worker_lease = settings.lease_s * (1 + kGraceMargin + 2 * kDrift);
+  const Seconds worker_lease = settings.lease_s * (1 + kGraceMargin + 2 * kClockDrift);
   return std::max(0.0, settings.cancellation_limit_s - worker_lease);
 }
 
@@ -38,18 +39,19 @@
 }
 
 bool LeaderLease::is_held(Seconds now) const {
-  return now < renewed_at_ + duration_ * (1 - kDrift) - kTimerStep;
+  return now < renewed_at_ + duration_ * (1 - kClockDrift) - kTimerResolution;
 }
 
 bool LeaderLease::allows_acting(Seconds now) const {
-  return is_held(now) && view_confirmed_at_ && now < *view_confirmed_at_ + duration_ * (1 - kDrift);
+  return is_held(now) && view_confirmed_at_ &&
+         now < *view_confirmed_at_ + duration_ * (1 - kClockDrift);
 }
 
 bool LeaderLease::allows_answering_heartbeats(Seconds now) const {
   if (allows_acting(now)) return true;
   if (!view_confirmed_at_) return false;
-  const Seconds last_proof = std::min(renewed_at_, *view_confirmed_at_);
-  return now < last_proof + grace_period_ * (1 - kDrift);
+  const Seconds last_confirmed_at = std::min(renewed_at_, *view_confirmed_at_);
+  return now < last_confirmed_at + grace_period_ * (1 - kClockDrift);
 }
 
 void LeaderLease::renewal_answered(Seconds sent_at) {
@@ -59,7 +61,7 @@
 bool LeaderLease::is_view_overdue(Seconds renewal_sent_at) const {
   if (!view_confirmed_at_ || !answered_since_) return false;
   const Seconds overdue_since = std::max(*view_confirmed_at_, *answered_since_);
-  return renewal_sent_at - overdue_since > duration_ * kViewPatience;
+  return renewal_sent_at - overdue_since > duration_ * kViewTimeoutLeases;
 }
 
 }  // namespace larkroad::coordination
--- a/src/coordination/election/leadership.hpp
+++ b/src/coordination/election/leadership.hpp
@@ -1,4 +1,4 @@
-/// The view that the parts of the leader have of the election.
+/// Interface to the election for the components of the leader.
 #pragma once
 
 #include <cstdint>
@@ -8,33 +8,34 @@
 
 namespace larkroad::coordination {
 
-/// What a part of the leader may ask of, and tell to, the election. A test puts its own in place.
+/// The part of `Election` that components of the leader use. Tests provide their own
+/// implementations.
 class Leadership {
  public:
   virtual ~Leadership() = default;
 
-  /// Whether this controller may act as the leader now: neither its lease nor its view of the jobs
-  /// has expired.
+  /// Whether this controller may act as the leader now: its lease is held and its job view is
+  /// recent enough.
   virtual bool is_leader() const = 0;
 
-  /// The present fencing token of this term. It grows when the leader raises it.
+  /// The current fencing token of this term. It increases when the leader raises it.
   virtual std::uint64_t fencing_token() const = 0;
 
-  /// The leader has read, in answer to a call sent at that time, all that was recorded of the jobs
-  /// by then. Without such a proof now and then it may not lead on.
+  /// Records that the leader has read all job changes stored up to `sent_at`, the time at which the
+  /// call that returned them was sent. The leader may act only while this is recent.
   virtual void confirm_view(Seconds sent_at) = 0;
 
-  /// How long a watch may wait for changes, so that its answer proves the view in time.
+  /// How long a job watch may block, so that its reply confirms the job view in time.
   virtual Seconds view_interval() const = 0;
 
-  /// How long after its last renewal an earlier leader may still have answered a heartbeat.
+  /// How long after its last renewal a previous leader may still have answered heartbeats.
   virtual Seconds grace_period() const = 0;
 
-  /// Gives the term up, to start anew from what is recorded.
+  /// Ends the term, so that the next one reloads its state from the store.
   virtual void resign(const std::string& reason) = 0;
 };
 
-/// The election of this controller.
+/// Implements `Leadership` by this controller's `Election`.
 class ElectionLeadership final : public Leadership {
  public:
   explicit ElectionLeadership(Election& election) : election_(election) {}
--- a/src/coordination/election/unreachable_leader_watch.hpp
+++ b/src/coordination/election/unreachable_leader_watch.hpp
@@ -1,7 +1,7 @@
-/// Decides when a leader that its workers cannot reach makes way for a peer that they do reach.
+/// Decides when a leader that workers cannot reach steps down in favor of a peer that they reach.
 ///
-/// Such a leader keeps renewing its lease on the leader key, so nobody could replace it, while the
-/// workers' leases run out and their tasks end. Asked periodically by `Controller`.
+/// Such a leader keeps renewing its lease on the leader key, so no peer can replace it, while the
+/// worker leases expire and their tasks end. Queried periodically by `Controller`.
 #pragma once
 
 #include <optional>
@@ -17,13 +17,13 @@
  public:
   explicit UnreachableLeaderWatch(const Settings& settings) : settings_(settings) {}
 
-  /// `unreachable_since`: since when the leader has received no heartbeat; none while it receives
-  /// them or has too few workers to tell. `peers_receive_heartbeats`: without it the fault may lie
-  /// with the workers, and another leader would be no better.
+  /// `unreachable_since`: the time since which the leader has received no heartbeat; none if it has
+  /// too few workers to tell. `peers_receive_heartbeats`: if false, the workers themselves may have
+  /// failed and another leader would not help.
   bool should_step_down(std::optional<Seconds> unreachable_since, bool peers_receive_heartbeats,
                         Seconds now) const;
-  /// For how long the leader that steps down leaves the election to its peers.
-  Seconds abstention() const { return settings_.lease_s; }
+  /// How long the leader that steps down does not campaign.
+  Seconds campaign_pause() const { return settings_.lease_s; }
 
  private:
   const Settings& settings_;
--- a/tests/cancellation_during_partition_test.cpp
+++ b/tests/cancellation_during_partition_test.cpp
@@ -109,7 +109,8 @@
     bool outage = false;
     std::function<void()> watch_election = [&] {
       for (size_t i = 0; i < kControllers && !outage; ++i) {
-        if (world.is_up(i) && world.controller(i).election().holds() && world.events.now() > 42) {
+        if (world.is_up(i) && world.controller(i).election().holds_leader_key() &&
+            world.events.now() > 42) {
           outage = true;
           world.store.set_outage(true);
           world.events.schedule_at(world.events.now() + 40,
--- a/tests/unreachable_leader_watch_test.cpp
+++ b/tests/unreachable_leader_watch_test.cpp
@@ -1,4 +1,4 @@
-// When a leader that receives no heartbeats steps down.
+// Conditions under which a leader that receives no heartbeats steps down.
 #include "coordination/election/unreachable_leader_watch.hpp"
 
 #include <gtest/gtest.h>
@@ -27,19 +27,21 @@
             GetParam().steps_down);
 }
 
-// The workers' lease is 12 s.
+// The worker lease is 12 s.
 const WatchCase kWatchCases[] = {
-    {"reachable", {}, true, false},          {"shortly", 3.9, true, false},
-    {"a_third_of_the_lease", 4, true, true}, {"long", 60, true, true},
-    {"nobody_is_reached", 60, false, false},
+    {"too_few_workers_to_tell", {}, true, false},
+    {"below_a_third_of_the_lease", 3.9, true, false},
+    {"a_third_of_the_lease", 4, true, true},
+    {"far_beyond_a_third_of_the_lease", 60, true, true},
+    {"no_peer_receives_heartbeats", 60, false, false},
 };
 
 INSTANTIATE_TEST_SUITE_P(Cases, UnreachableLeaderWatchTest, ::testing::ValuesIn(kWatchCases),
                          [](const auto& info) { return std::string(info.param.name); });
 
-TEST(UnreachableLeaderWatch, LeavesTheElectionToItsPeersForALease) {
+TEST(UnreachableLeaderWatch, CampaignPauseIsOneWorkerLease) {
   const Settings settings = testing::settings();
-  EXPECT_EQ(UnreachableLeaderWatch(settings).abstention(), settings.lease_s);
+  EXPECT_EQ(UnreachableLeaderWatch(settings).campaign_pause(), settings.lease_s);
 }
 
 }  // namespace
