--- a/src/coordination/leader/lag_meter.hpp
+++ b/src/coordination/leader/lag_meter.hpp
@@ -1,5 +1,5 @@
-/// How far the process is behind with its work, measured by how late its timers fire. Owned by the
-/// leader, which defers low-priority work while it is overloaded.
+/// Measures event loop lag: how late timers fire because the process is behind with its work. Owned
+/// by the leader, which defers low-priority work while it is overloaded.
 #pragma once
 
 #include <algorithm>
@@ -10,14 +10,14 @@
 
 class LagMeter {
  public:
-  /// A timer that was due at `due` fires at `now`.
-  void fired(transport::Seconds due, transport::Seconds now) {
+  /// Records that a timer due at `due` fired at `now`.
+  void record_timer(transport::Seconds due, transport::Seconds now) {
     const transport::Seconds lateness = std::max(0.0, now - due);
-    // The lag rises at once and falls slowly, so that one timer in time, while the overload goes
-    // on, does not make the leader take up all deferred work at once.
+    // The lag rises immediately and decays slowly. Otherwise a single timer that fires on time
+    // during an overload would make the leader start all deferred work at once.
     lag_ = std::max(lateness, lag_ * kDecayPerTimer);
   }
-  /// The present lag; 0 when timers fire in time.
+  /// The current lag; 0 if timers fire on time.
   transport::Seconds lag() const { return lag_; }
   void reset() { lag_ = 0; }
 
--- a/src/coordination/leader/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -7,7 +7,7 @@
 namespace larkroad::coordination {
 namespace {
 
-// The period of scaling rounds, as a part of the heartbeat interval.
+// Interval between scaling rounds, as a fraction of the heartbeat interval.
 constexpr double kScalingRatio = 1.0 / 3;
 
 }  // namespace
@@ -19,11 +19,11 @@
       leadership_(election),
       catalog_(catalog),
       settings_(settings),
-      scope_(clock),
+      term_scope_(clock),
       cluster_(settings),
       relay_assignment_(settings),
       transaction_limit_(settings.lasting_store_limits().max_transaction_changes),
-      garbage_(clock, store, leadership_, settings, transaction_limit_),
+      garbage_collector_(clock, store, leadership_, settings, transaction_limit_),
       image_recorder_(clock, store, leadership_, settings, transaction_limit_, cluster_),
       command_dispatcher_(clock, client, cluster_, settings, command_dispatcher_callbacks()),
       machine_health_(clock, cluster_, settings, machine_health_callbacks()),
@@ -35,57 +35,57 @@
                            task_reconciler_, removed_machines_,
                            [this](Machine& machine) { restore_images(machine); }),
       heartbeat_endpoint_(clock, cluster_, election, relay_assignment_, heartbeat_processor_),
-      placement_writer_(clock, store, leadership_, settings, transaction_limit_, cluster_, garbage_,
-                        placement_writer_callbacks()),
+      placement_writer_(clock, store, leadership_, settings, transaction_limit_, cluster_,
+                        garbage_collector_, placement_writer_callbacks()),
       job_watch_(clock, store, leadership_, settings, cluster_, job_watch_callbacks()),
-      state_recovery_(clock, store, leadership_, settings, cluster_, garbage_,
+      state_recovery_(clock, store, leadership_, settings, cluster_, garbage_collector_,
                       state_recovery_callbacks()),
       scheduling_loop_(clock, leadership_, settings, cluster_, gang_reservations_, lag_, activity_,
                        scheduling_loop_callbacks()),
-      cloud_(clock, client, leadership_, settings, catalog, cluster_, removed_machines_, activity_,
-             cloud_reconciler_callbacks()) {}
+      cloud_reconciler_(clock, client, leadership_, settings, catalog, cluster_, removed_machines_,
+                        activity_, cloud_reconciler_callbacks()) {}
 
-void Leader::begin(bool distributes_workers) {
-  scope_.restart();
+void Leader::begin_term(bool distributes_workers) {
+  term_scope_.restart();
   command_dispatcher_.restart();
   relay_assignment_.reset(distributes_workers);
   ready_ = false;
   loading_ = true;
-  begun_at_ = clock_.now();
+  term_started_at_ = clock_.now();
   heartbeat_processor_.begin_term();
   cluster_.clear();
   cluster_.set_day_offset(clock_.unix_time() - clock_.now());
   gang_reservations_.clear();
   job_watch_.begin_term();
   placement_writer_.begin_term();
-  garbage_.begin_term();
+  garbage_collector_.begin_term();
   image_recorder_.begin_term();
   scheduling_loop_.begin_term();
-  cloud_.begin_term();
+  cloud_reconciler_.begin_term();
   recovered_images_.clear();
   lag_.reset();
   next_periodic_run_ = kNoLimit;
   cluster_.set_types(catalog_.types());
-  state_recovery_.start(begun_at_);
+  state_recovery_.start(term_started_at_);
 }
 
-void Leader::end() {
-  scope_.restart();
+void Leader::end_term() {
+  term_scope_.restart();
   command_dispatcher_.restart();
   state_recovery_.end_term();
   job_watch_.end_term();
   placement_writer_.end_term();
-  garbage_.end_term();
+  garbage_collector_.end_term();
   image_recorder_.end_term();
   scheduling_loop_.end_term();
-  cloud_.end_term();
+  cloud_reconciler_.end_term();
   ready_ = false;
   loading_ = false;
   cluster_.clear();
   gang_reservations_.clear();
 }
 
-void Leader::recovered(RecoveredState state) {
+void Leader::handle_recovered_state(RecoveredState state) {
   recovered_images_ = std::move(state.images);
   ready_ = true;
   loading_ = false;
@@ -96,19 +96,19 @@
   cluster_.set_types(catalog_.types());
   ready_at_ = clock_.now();
   spdlog::info("state recovered: jobs={} placed_tasks={} duration_ms={:.0f}",
-               cluster_.jobs().size(), state.placed_tasks, (ready_at_ - begun_at_) * 1000);
+               cluster_.jobs().size(), state.placed_tasks, (ready_at_ - term_started_at_) * 1000);
   resume_finished_jobs();
   job_watch_.start();
   run_periodic_tasks();
   run_scaling_loop();
-  cloud_.start(ready_at_);
-  garbage_.collect();
+  cloud_reconciler_.start(ready_at_);
+  garbage_collector_.collect();
   request_plan();
 }
 
-// Takes up again what an earlier leader did not get done of jobs that are cancelled or finished.
+// Completes the cleanup of cancelled and finished jobs that a previous leader did not complete.
 void Leader::resume_finished_jobs() {
-  std::vector<std::string> ids;  // a copy: what follows may remove jobs
+  std::vector<std::string> ids;  // copied, as the loop below may remove jobs
   for (const auto& [id, job] : cluster_.jobs()) ids.push_back(id);
   for (const auto& id : ids) {
     Job* job = cluster_.job(id);
@@ -121,20 +121,22 @@
   }
 }
 
-void Leader::types_changed() {
+void Leader::update_machine_types() {
   if (ready_) cluster_.set_types(catalog_.types());
 }
 
 void Leader::run_periodic_tasks() {
   const Seconds now = clock_.now();
-  lag_.fired(next_periodic_run_, now);
+  lag_.record_timer(next_periodic_run_, now);
   next_periodic_run_ = now + settings_.heartbeat_interval_s * kPeriodRatio;
-  scope_.after(settings_.heartbeat_interval_s * kPeriodRatio, [this] { run_periodic_tasks(); });
+  term_scope_.after(settings_.heartbeat_interval_s * kPeriodRatio,
+                    [this] { run_periodic_tasks(); });
   if (!election_.is_leader()) return;
   machine_health_.expire_leases();
   machine_health_.check_unreachable();
   relay_assignment_.rebalance(
-      cloud_.has_listed() ? std::optional(cluster_.machines().size()) : std::nullopt, now);
+      cloud_reconciler_.has_listed() ? std::optional(cluster_.machines().size()) : std::nullopt,
+      now);
   for (const auto& [id, job] : cluster_.jobs()) {
     if (job->write_in_flight) continue;
     persist(*job);
@@ -151,17 +153,18 @@
 }
 
 void Leader::run_scaling_loop() {
-  scope_.after(settings_.heartbeat_interval_s * kScalingRatio, [this] { run_scaling_loop(); });
+  term_scope_.after(settings_.heartbeat_interval_s * kScalingRatio, [this] { run_scaling_loop(); });
   image_recorder_.record();
   const HeartbeatProcessor::Counts processed = heartbeat_processor_.take_counts();
   activity_.heartbeats += processed.heartbeats;
   activity_.reported_tasks += processed.reported_tasks;
   activity_.direct_calls += command_dispatcher_.take_sent_calls();
   log_fleet_usage(cluster_, activity_);
-  cloud_.run_scaling_round();
+  cloud_reconciler_.run_scaling_round();
 }
 
-// A machine that sends its first heartbeat holds the images that an earlier leader recorded.
+// Called on the first heartbeat of a machine: restores its cached images from the records of a
+// previous leader.
 void Leader::restore_images(Machine& machine) {
   const auto it = recovered_images_.find(machine.name);
   if (it == recovered_images_.end()) return;
@@ -170,9 +173,9 @@
   recovered_images_.erase(it);
 }
 
-void Leader::machine_removed(const std::string& machine) {
-  garbage_.add(storage::kMachinePrefix + machine);
-  garbage_.collect();
+void Leader::handle_machine_removed(const std::string& machine) {
+  garbage_collector_.add(storage::kMachinePrefix + machine);
+  garbage_collector_.collect();
 }
 
 transport::Response Leader::handle_heartbeat(const protocol::Heartbeat& heartbeat,
--- a/src/coordination/leader/leader.hpp
+++ b/src/coordination/leader/leader.hpp
@@ -1,10 +1,10 @@
-/// The leader: owns the cluster's state for a term of leadership, and wires up its parts.
+/// The leader: owns the cluster state during a term of leadership and connects its components.
 ///
-/// The parts have their own state and tell each other what happened by callbacks that are set here:
-/// StateRecovery and JobWatch read the records, PlacementWriter, GarbageCollector and ImageRecorder
-/// write them, SchedulingLoop places tasks, CloudReconciler rents and releases machines, and the
-/// classes of workers/ take in heartbeats and send commands. The Controller begins a term when the
-/// election is won and ends it when leadership is lost.
+/// The components keep their own state and notify each other through callbacks that are set up
+/// here: StateRecovery and JobWatch read the records; PlacementWriter, GarbageCollector and
+/// ImageRecorder write them; SchedulingLoop places tasks; CloudReconciler rents and releases
+/// machines; and the classes in workers/ process heartbeats and send commands. The Controller
+/// begins a term when the election is won and ends it when leadership is lost.
 #pragma once
 
 #include <map>
@@ -45,7 +45,7 @@
 
 namespace larkroad::coordination {
 
-/// One term of leadership after another, each with a cluster state of its own.
+/// Reused for successive terms of leadership; each term starts with an empty cluster state.
 class Leader {
  public:
   using RelayRoute = coordination::RelayRoute;
@@ -53,43 +53,43 @@
   Leader(transport::Clock& clock, transport::Client& client, storage::KeyValueClient& store,
          Election& election, MachineCatalog& catalog, const Settings& settings);
 
-  /// Begins a term: reads the records, then works. `distributes_workers`: whether workers report to
-  /// all controllers at present, see RelayAssignment.
-  void begin(bool distributes_workers);
-  /// Ends the term and forgets its state.
-  void end();
-  /// The machine catalog has changed.
-  void types_changed();
-  /// Whether the records are still being read, so that no heartbeat can be answered yet.
+  /// Begins a term: loads the records, then starts scheduling and scaling. `distributes_workers`:
+  /// whether workers currently send heartbeats to all controllers, see RelayAssignment.
+  void begin_term(bool distributes_workers);
+  /// Ends the term and discards its state.
+  void end_term();
+  /// Updates the machine types after a change of the machine catalog.
+  void update_machine_types();
+  /// Whether the records are still being loaded.
   bool loading() const { return loading_; }
   /// See JobWatch::cancelled_by_peer.
   bool cancelled_by_peer(const std::string& id) { return job_watch_.cancelled_by_peer(id); }
 
-  /// Answers a heartbeat; the election must allow that. `relay`: the controller that relays it,
-  /// empty when its worker sent it here.
+  /// Answers a heartbeat. Requires `Election::may_answer_heartbeats`. `relay`: the controller that
+  /// relayed it, empty if the worker sent it directly.
   transport::Response handle_heartbeat(const protocol::Heartbeat& heartbeat,
                                        const std::string& relay = "",
                                        RelayRoute route = RelayRoute::direct);
-  /// Answers each heartbeat of a batch, in its order.
+  /// Answers each heartbeat of a batch, in order.
   std::vector<protocol::RelayedAnswer> handle_relayed_heartbeats(const protocol::RelayBatch& batch,
                                                                  RelayRoute route);
-  /// Whether a batch for the leader with this fencing token is for this term.
+  /// Whether a batch addressed to the leader with this fencing token is for the current term.
   bool is_own_fencing_token(std::uint64_t fencing_token) const {
     return heartbeat_processor_.is_of_this_term(fencing_token);
   }
   RelayAssignment& relay_assignment() { return relay_assignment_; }
-  /// When the newest heartbeat came, if so many machines hold a lease that all of them being gone
-  /// at once would rather be a fault of this controller.
+  /// The time of the newest heartbeat. None if too few machines hold a lease: with more of them,
+  /// silence from all indicates a fault of this controller rather than of the machines.
   std::optional<Seconds> newest_heartbeat_at() const;
 
-  /// Tasks that run and that are done, by job, for display.
+  /// Numbers of running and completed tasks by job, for display.
   std::unordered_map<std::string, UserApi::Progress> progress() const;
 
  private:
-  // The period of the leader's checks, as a part of the workers' heartbeat interval.
+  // Interval between the leader's periodic tasks, as a fraction of the heartbeat interval.
   static constexpr double kPeriodRatio = 1.0 / 10;
 
-  // Wiring: what the parts tell each other.
+  // Callbacks that connect the components.
   StateRecovery::Callbacks state_recovery_callbacks();
   JobWatch::Callbacks job_watch_callbacks();
   PlacementWriter::Callbacks placement_writer_callbacks();
@@ -102,7 +102,7 @@
   void request_plan() { scheduling_loop_.request_cycle(); }
 
   // Recovery.
-  void recovered(RecoveredState state);
+  void handle_recovered_state(RecoveredState state);
   void resume_finished_jobs();
   void restore_images(Machine& machine);
   RecordsState records_state() const {
@@ -111,11 +111,11 @@
 
   // Jobs and tasks.
   void cancel_job(Job& job);
-  void task_gone(Job& job, std::uint32_t task, const std::string& reason);
+  void handle_task_lost(Job& job, std::uint32_t task, const std::string& reason);
   void abort_gang_attempt(Job& job, const std::string& reason);
-  void machine_removed(const std::string& machine);
+  void handle_machine_removed(const std::string& machine);
 
-  // Loops.
+  // Periodic work.
   void run_periodic_tasks();
   void run_scaling_loop();
 
@@ -125,21 +125,22 @@
   MachineCatalog& catalog_;
   const Settings& settings_;
 
-  transport::CallbackScope scope_;  // of this term of leadership
+  transport::CallbackScope term_scope_;  // timers and replies of the current term
   bool ready_ = false;
   bool loading_ = false;
-  Seconds begun_at_ = 0;
+  Seconds term_started_at_ = 0;
   Seconds ready_at_ = 0;
   ClusterState cluster_;
   GangReservations gang_reservations_;
   RelayAssignment relay_assignment_;
-  std::map<std::string, storage::Images> recovered_images_;  // by machine that has not reported yet
-  LagMeter lag_;  // how late the periodic checks run: what the process is behind with its work
+  std::map<std::string, storage::Images>
+      recovered_images_;  // by machine that has not sent a heartbeat yet
+  LagMeter lag_;          // lag of the periodic tasks
   Seconds next_periodic_run_ = 0;
   LeaderActivity activity_;
   RemovedMachines removed_machines_;
   TransactionLimit transaction_limit_;
-  GarbageCollector garbage_;
+  GarbageCollector garbage_collector_;
   ImageRecorder image_recorder_;
   CommandDispatcher command_dispatcher_;
   MachineHealth machine_health_;
@@ -152,7 +153,7 @@
   JobWatch job_watch_;
   StateRecovery state_recovery_;
   SchedulingLoop scheduling_loop_;
-  CloudReconciler cloud_;
+  CloudReconciler cloud_reconciler_;
 };
 
 }  // namespace larkroad::coordination
--- a/src/coordination/leader/leader_wiring.cpp
+++ b/src/coordination/leader/leader_wiring.cpp
@@ -1,4 +1,4 @@
-// What the parts of the leader tell each other.
+// Callbacks that connect the components of the leader.
 #include "coordination/leader/leader.hpp"
 
 namespace larkroad::coordination {
@@ -38,7 +38,7 @@
   return {
       [this](const storage::Entry& entry) { job_watch_.apply(entry); },
       [this](std::uint64_t revision) { job_watch_.watch_from(revision); },
-      [this](RecoveredState state) { recovered(std::move(state)); },
+      [this](RecoveredState state) { handle_recovered_state(std::move(state)); },
   };
 }
 
@@ -49,7 +49,7 @@
           [this](Machine& machine, const std::string& reason) {
             task_reconciler_.end_all_tasks(machine, reason);
           },
-      .machine_removed = [this](const std::string& machine) { machine_removed(machine); },
+      .machine_removed = [this](const std::string& machine) { handle_machine_removed(machine); },
   };
 }
 
@@ -78,7 +78,9 @@
           },
       .query_status = [this](Machine& machine) { command_dispatcher_.query_status(machine); },
       .release_machines =
-          [this](const std::vector<std::string>& names) { cloud_.release_machines(names); },
+          [this](const std::vector<std::string>& names) {
+            cloud_reconciler_.release_machines(names);
+          },
       .request_plan = [this] { request_plan(); },
   };
 }
@@ -87,7 +89,7 @@
   return {
       .persist = [this](Job& job) { persist(job); },
       .task_gone = [this](Job& job, std::uint32_t task,
-                          const std::string& reason) { task_gone(job, task, reason); },
+                          const std::string& reason) { handle_task_lost(job, task, reason); },
       .abort_gang_attempt = [this](Job& job,
                                    const std::string& reason) { abort_gang_attempt(job, reason); },
       .request_plan = [this] { request_plan(); },
--- a/src/coordination/leader/scheduling_loop.cpp
+++ b/src/coordination/leader/scheduling_loop.cpp
@@ -7,17 +7,18 @@
 namespace larkroad::coordination {
 namespace {
 
-// Requests are gathered for this part of the heartbeat interval before a cycle.
+// Delay before a cycle in which further requests are batched, as a fraction of the heartbeat
+// interval.
 constexpr double kCycleDelayRatio = 1.0 / 300;
-// The leader's periodic tasks run once in this part of the heartbeat interval; a cycle may take the
-// second part of that, as the process has other work, too.
+// The leader's periodic tasks run at an interval of `kPeriodicRatio` heartbeat intervals. A cycle
+// may take `kCycleBudgetRatio` of that, which leaves time for the other work of the process.
 constexpr double kPeriodicRatio = 1.0 / 10;
 constexpr double kCycleBudgetRatio = 1.0 / 20;
-// A cycle is followed by a pause of this many times what it took.
-constexpr double kPauseFactor = 3;
-// A leader that is this part of the heartbeat interval behind with its work starts no more work of
-// low priority until it has caught up: each task costs it calls, heartbeats and writes, and workers
-// whose heartbeats are not answered in time end all that they run.
+// The pause after a cycle, as a multiple of the duration of the cycle.
+constexpr double kPauseRatio = 3;
+// Lag, as a fraction of the heartbeat interval, above which the leader defers low-priority work
+// until it has caught up. Each started task costs the leader calls, heartbeats and writes, and
+// workers whose heartbeats are not answered in time stop all their tasks.
 constexpr double kOverloadRatio = 1.0 / 8;
 
 }  // namespace
@@ -34,27 +35,27 @@
       lag_(lag),
       activity_(activity),
       callbacks_(std::move(callbacks)),
-      scope_(clock) {}
+      term_scope_(clock) {}
 
 void SchedulingLoop::begin_term() {
-  scope_.restart();
+  term_scope_.restart();
   started_ = false;
-  cycle_due_ = false;
+  cycle_scheduled_ = false;
   resume_at_ = 0;
 }
 
 void SchedulingLoop::end_term() {
-  scope_.restart();
+  term_scope_.restart();
   started_ = false;
 }
 
 void SchedulingLoop::request_cycle() {
-  if (cycle_due_ || !started_) return;
-  cycle_due_ = true;
+  if (cycle_scheduled_ || !started_) return;
+  cycle_scheduled_ = true;
   const Seconds delay =
       std::max(settings_.heartbeat_interval_s * kCycleDelayRatio, next_cycle_at_ - clock_.now());
-  scope_.after(delay, [this] {
-    cycle_due_ = false;
+  term_scope_.after(delay, [this] {
+    cycle_scheduled_ = false;
     run_cycle();
   });
 }
@@ -76,17 +77,17 @@
   if (!started_ || !leadership_.is_leader()) return;
   const Seconds started_at = clock_.now();
   const CycleLimits cycle_limits = limits(started_at);
-  const Plan decided = plan(cluster_, reservations_, started_at, cycle_limits);
-  resume_at_ = decided.stopped_at;
-  for (const auto& assignment : decided.assignments) {
+  const Plan result = plan(cluster_, reservations_, started_at, cycle_limits);
+  resume_at_ = result.stopped_at;
+  for (const auto& assignment : result.assignments) {
     apply(assignment, cycle_limits.start_bound_s);
   }
-  for (const auto& preemption : decided.preemptions) apply(preemption);
-  for (const auto& migration : decided.moves) apply(migration);
-  const Seconds took = clock_.now() - started_at;
+  for (const auto& preemption : result.preemptions) apply(preemption);
+  for (const auto& migration : result.moves) apply(migration);
+  const Seconds duration = clock_.now() - started_at;
   ++activity_.planning_rounds;
-  activity_.planning_time += took;
-  next_cycle_at_ = clock_.now() + took * kPauseFactor;
+  activity_.planning_time += duration;
+  next_cycle_at_ = clock_.now() + duration * kPauseRatio;
   if (is_unfinished()) request_cycle();
 }
 
@@ -112,8 +113,8 @@
   const std::uint64_t attempt =
       job.spec.is_gang() ? job.gang_attempt : job.shards[number].attempt + 1;
   cluster_.place(job, task, cluster_.machine(machine), attempt, now);
-  // The scheduler reckons with common lengths of names and numbers; what does not fit after all
-  // would keep the whole record from being written.
+  // The scheduler estimates record sizes from typical lengths of names and numbers. A task that
+  // turns out not to fit is not placed, as an oversized record could not be written at all.
   if (cluster_.has_oversized_shards(job) && cluster_.record_bytes_left(job, number) == 0) {
     cluster_.unplace(job, task, now);
     return;
--- a/src/coordination/leader/scheduling_loop.hpp
+++ b/src/coordination/leader/scheduling_loop.hpp
@@ -1,4 +1,4 @@
-/// Runs scheduling cycles when something has changed, and carries out what they decide.
+/// Runs scheduling cycles on request and applies their decisions.
 #pragma once
 
 #include <cstdint>
@@ -15,20 +15,20 @@
 
 namespace larkroad::coordination {
 
-/// Gathers requests for a cycle for a moment, runs one cycle, and pauses in proportion to what it
-/// took, so that heartbeats and users are answered in between. A cycle that runs out of time is
-/// continued by the next one. When the process is behind with its work, cycles start no more work
-/// of low priority until it has caught up.
+/// Batches requests for a short time, runs one cycle, and pauses in proportion to its duration, so
+/// that heartbeats and user requests are answered in between. A cycle that exceeds its time budget
+/// is continued by the next one. While the process is overloaded, cycles start no low-priority
+/// work.
 class SchedulingLoop {
  public:
-  /// How a task is stopped that has to leave its machine.
+  /// How a task is stopped that is preempted or migrated.
   enum class StopMode {
     immediate,
     graceful,  // with time to save a checkpoint
   };
-  /// What the loop tells the rest of the leader.
+  /// Actions that the loop delegates to the leader.
   struct Callbacks {
-    /// Tasks of the job have been placed: their placements are to be made durable.
+    /// Called after tasks of the job have been placed: writes their placements to the store.
     std::function<void(Job&)> persist;
     std::function<void(Job&, Placement&, StopMode)> stop;
   };
@@ -37,16 +37,16 @@
                  ClusterState& cluster, GangReservations& reservations, const LagMeter& lag,
                  LeaderActivity& activity, Callbacks callbacks);
 
-  /// Forgets everything of an earlier term. No cycle runs before `start`.
+  /// Resets the state of a previous term. No cycle runs before `start`.
   void begin_term();
-  /// The state is recovered: cycles may run from now on.
+  /// Allows cycles to run, after the state has been recovered.
   void start() { started_ = true; }
-  /// Timers that are set have no effect any more.
+  /// Cancels the pending timer.
   void end_term();
 
-  /// Asks for a cycle soon; one that is due already serves this request too.
+  /// Schedules a cycle, unless one is scheduled already.
   void request_cycle();
-  /// Whether the last cycle ran out of time, so that the next one goes on from there.
+  /// Whether the last cycle exceeded its time budget, so that the next one continues from there.
   bool is_unfinished() const { return resume_at_ != 0; }
 
  private:
@@ -65,11 +65,11 @@
   const LagMeter& lag_;
   LeaderActivity& activity_;
   Callbacks callbacks_;
-  transport::CallbackScope scope_;  // of this term of leadership
+  transport::CallbackScope term_scope_;  // timers of the current term
   bool started_ = false;
-  bool cycle_due_ = false;     // the timer of the next cycle is set
-  size_t resume_at_ = 0;       // in the order of work; 0: from its beginning
-  Seconds next_cycle_at_ = 0;  // no cycle before this; kept over terms
+  bool cycle_scheduled_ = false;  // the timer of the next cycle is pending
+  size_t resume_at_ = 0;          // index in the job queue; 0: from the start
+  Seconds next_cycle_at_ = 0;     // no cycle starts earlier; kept across terms
 };
 
 }  // namespace larkroad::coordination
--- a/tests/cancellation_during_partition_test.cpp
+++ b/tests/cancellation_during_partition_test.cpp
@@ -1,4 +1,4 @@
-// Cancellations that one controller confirms while the leader cannot learn of them.
+// Cancellations confirmed by one controller while the leader cannot learn of them.
 #include <gtest/gtest.h>
 
 #include "log.hpp"
@@ -8,46 +8,50 @@
 namespace larkroad::sim {
 namespace {
 
-// A fault in which the leader does not learn of cancellations, and an outage of the store.
-struct CancellationGap {
+// A fault that prevents the leader from learning of cancellations, and a store outage.
+struct CancellationFaultCase {
   const char* name;
-  // What happens to the leader at 40 s; jobs are cancelled from 40.5 s on.
+  // Applied to the leader at 40 s; jobs are cancelled at 40.5 s.
   std::function<void(World&, size_t)> fault;
   Seconds outage_at;
 };
 
-std::ostream& operator<<(std::ostream& out, const CancellationGap& gap) { return out << gap.name; }
+std::ostream& operator<<(std::ostream& out, const CancellationFaultCase& fault_case) {
+  return out << fault_case.name;
+}
 
-const CancellationGap kCancellationGaps[] = {
-    // Refused alone, then an outage for all beyond `cancellation_limit_s`. Seen in production.
-    {"refused_alone",
+const CancellationFaultCase kCancellationFaultCases[] = {
+    // The store refuses only the leader; an outage for all controllers then lasts longer than
+    // `cancellation_limit_s`. Seen in production.
+    {"store_refuses_leader",
      [](World& world, size_t leader) {
        world.network.refused_by_store.insert(controller_name(leader));
        partition_from_peers(world, leader, 100);
        world.events.schedule_at(54, [&world] { world.network.refused_by_store.clear(); });
      },
      42},
-    {"refused_alone_and_told_by_peers",
+    {"store_refuses_leader_and_peers_notify_it",
      [](World& world, size_t leader) {
        world.network.refused_by_store.insert(controller_name(leader));
        world.events.schedule_at(54, [&world] { world.network.refused_by_store.clear(); });
      },
      42},
-    // Its lease is renewed all the time, yet the watch on the jobs brings nothing.
-    {"watch_held_up",
+    // The leader's lease is renewed throughout, but its job watch is not answered.
+    {"job_watch_delayed",
      [](World& world, size_t leader) {
        world.store.hold_watches(controller_name(leader), 140);
        partition_from_peers(world, leader, 100);
      },
      1000},
-    {"watch_held_up_then_an_outage",
+    {"job_watch_delayed_then_outage",
      [](World& world, size_t leader) {
        world.store.hold_watches(controller_name(leader), 52);
        partition_from_peers(world, leader, 100);
      },
      50},
-    // Held up from before the cancellations until after an outage: it leads again at 58 s.
-    {"leads_again_before_its_watch",
+    // The watch is delayed from before the cancellations until after an outage, at whose end (58 s)
+    // the leader's lease is valid again.
+    {"lease_recovers_before_job_watch",
      [](World& world, size_t leader) {
        world.store.hold_watches(controller_name(leader), 140);
        partition_from_peers(world, leader, 100);
@@ -55,7 +59,7 @@
        world.events.schedule_at(58, [&world] { world.store.set_outage(false); });
      },
      1000},
-    {"slow_to_hear",
+    {"job_watch_delayed_and_peer_refused",
      [](World& world, size_t leader) {
        world.store.hold_watches(controller_name(leader), 44);
        world.network.refused_by_store.insert(controller_name((leader + 1) % kControllers));
@@ -65,11 +69,12 @@
      43.5},
 };
 
-class CancellationDuringPartition : public ::testing::TestWithParam<CancellationGap> {};
+class CancellationDuringPartition : public ::testing::TestWithParam<CancellationFaultCase> {};
 
-// Another controller confirms cancellations that the leader does not hear of. Whatever it goes on
-// doing for its workers, the tasks must be gone in time, and no new one may be launched.
-TEST_P(CancellationDuringPartition, CancelledTasksAreGoneInTime) {
+// Another controller confirms cancellations that the leader does not learn of. Although the leader
+// may go on answering heartbeats, the cancelled tasks must stop within the cancellation limit and
+// none may be launched.
+TEST_P(CancellationDuringPartition, CancelledTasksStopInTime) {
   for (const std::uint64_t seed : {1, 2, 3, 4, 5}) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     spdlog::set_level(std::getenv("LOG_LEVEL") ? spdlog::level::debug : spdlog::level::err);
@@ -88,12 +93,12 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Scenarios, CancellationDuringPartition,
-                         ::testing::ValuesIn(kCancellationGaps),
+                         ::testing::ValuesIn(kCancellationFaultCases),
                          [](const auto& info) { return std::string(info.param.name); });
 
-// A leader that has just been elected has read nothing of the jobs yet: when the store has an
-// outage at that very moment it must not keep alive what was cancelled before.
-TEST(CancellationDuringFailover, IsCarriedOutByALeaderThatIsStillLoading) {
+// A newly elected leader has not read the job records yet. If a store outage begins at that moment,
+// the leader must not keep tasks running that were cancelled before.
+TEST(CancellationDuringFailover, IsEnforcedWhileTheNewLeaderIsLoading) {
   for (const std::uint64_t seed : {1, 2, 3, 4, 5}) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     spdlog::set_level(std::getenv("LOG_LEVEL") ? spdlog::level::debug : spdlog::level::err);
@@ -107,7 +112,7 @@
     });
     world.events.schedule_at(40.2, [&world] { world.users.cancel_running_jobs(6); });
     bool outage = false;
-    std::function<void()> watch_election = [&] {
+    std::function<void()> start_outage_once_elected = [&] {
       for (size_t i = 0; i < kControllers && !outage; ++i) {
         if (world.is_up(i) && world.controller(i).election().holds_leader_key() &&
             world.events.now() > 42) {
@@ -117,17 +122,17 @@
                                    [&world] { world.store.set_outage(false); });
         }
       }
-      if (!outage) world.events.schedule_at(world.events.now() + 0.0005, watch_election);
+      if (!outage) world.events.schedule_at(world.events.now() + 0.0005, start_outage_once_elected);
     };
-    world.events.schedule_at(42, watch_election);
+    world.events.schedule_at(42, start_outage_once_elected);
     world.run(200);
     EXPECT_TRUE(outage);
     for (const auto& line : world.invariants.violations()) ADD_FAILURE() << line;
   }
 }
 
-// Where the peers reach it, a leader that the store refuses learns of a cancellation at
-// once, and stops the tasks although it may start nothing.
+// A leader that the store refuses but that peers reach learns of a cancellation immediately from
+// their notice, and stops the tasks although it may not act otherwise.
 TEST(CancellationNotifier, ReachesALeaderThatTheStoreRefuses) {
   World world(1, {});
   submit_long_jobs(world);
@@ -137,14 +142,14 @@
   world.events.schedule_at(40.2, [&world] { world.users.cancel_running_jobs(kLongJobs); });
   world.run(39);
   ASSERT_EQ(running_long_jobs(world), kLongJobs);
-  world.run(41.5);  // before anybody else can lead
+  world.run(41.5);  // before another leader can be elected
   ASSERT_EQ(world.leader(), kControllers);
   world.run(42);
   EXPECT_EQ(running_long_jobs(world), 0u);
 }
 
-// What a peer says of a cancellation changes nothing unless it is for a job of this leadership, and
-// it is the record that counts in the end.
+// A cancellation notice has an effect only if it comes from a peer and names a job that the leader
+// knows. It stops tasks but is not durable: the job record decides whether the job is cancelled.
 TEST(CancellationNotifier, AcceptsMessagesFromPeersOnly) {
   World world(1, {});
   submit_long_jobs(world);
@@ -160,7 +165,7 @@
     size_t to;
     std::string body;
     int status;
-    size_t still_running;
+    size_t expected_running;
   } cases[] = {
       {"not a peer", leader, message("node-7", "job-100"), 400, kLongJobs},
       {"itself", leader, message(controller_name(leader), "job-100"), 400, kLongJobs},
@@ -178,12 +183,12 @@
                      [&](const Response& response) { got = response; });
     EXPECT_EQ(got.status, test_case.status) << test_case.what;
     world.run(world.events.now() + 0.05);
-    EXPECT_EQ(running_long_jobs(world), test_case.still_running) << test_case.what;
+    EXPECT_EQ(running_long_jobs(world), test_case.expected_running) << test_case.what;
   }
-  // That one was false: no record makes it durable, and the job runs again.
+  // The notice was false: no job record confirms the cancellation, so the job is started again.
   world.run(world.events.now() + 10);
   EXPECT_EQ(running_long_jobs(world), kLongJobs);
-  // A true one that arrives once more when the job is over.
+  // A repeated notice of a real cancellation, received after the job has finished.
   world.users.cancel_running_jobs(kLongJobs);
   world.run(world.events.now() + 10);
   EXPECT_EQ(running_long_jobs(world), 0u);
--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -1,4 +1,5 @@
-// What a change of leader takes and leaves behind: its time, where it goes, and late transactions.
+// Leader failover: its duration, the choice of the new leader, and late transactions of old
+// leaders.
 #include <gtest/gtest.h>
 
 #include "sim/long_jobs.hpp"
@@ -7,8 +8,8 @@
 namespace larkroad::sim {
 namespace {
 
-// A new leader's reads of the records do not queue behind the reads of users' status queries. When
-// they did, loading once took 48 s, in which the workers' leases expired.
+// A new leader's reads of the records must not queue behind reads for users' status queries. When
+// they did, loading took 48 s and the worker leases expired meanwhile.
 TEST(Failover, IsNotDelayedByStatusQueries) {
   FaultOptions faults;
   faults.status_query_rate = 30;
@@ -23,16 +24,17 @@
   world.run(40);
   ASSERT_LT(world.leader(), kControllers);
   world.crash(world.leader(), 30);
-  // Its lease ends first, and the controllers find out within one wait of their watch.
+  // The old leader's lease (1/6 of a worker lease) expires first; the other controllers notice
+  // within one blocking period of their watch, which is as long.
   world.run(40 + 2 * world.settings.lease_s / 6);
   EXPECT_LT(world.leader(), kControllers);
   EXPECT_EQ(running_long_jobs(world), kLongJobs);
   for (const auto& line : world.invariants.violations()) ADD_FAILURE() << line;
 }
 
-// A leader that loses only the workers steps down for one that they reach, before their leases
-// expire.
-TEST(Failover, MovesTheLeadToAControllerThatWorkersReach) {
+// A leader that is partitioned from the workers only steps down in favor of a controller that they
+// reach, before the worker leases expire.
+TEST(Failover, MovesLeadershipToAControllerThatWorkersReach) {
   for (const std::uint64_t seed : {1, 2, 3}) {
     World world(seed, {});
     submit_long_jobs(world);
@@ -49,19 +51,19 @@
     EXPECT_NE(world.leader(), first);
     world.run(40 + 3 * world.settings.lease_s);
     EXPECT_EQ(running_long_jobs(world), before) << "seed " << seed;
-    EXPECT_NE(world.leader(), first);  // the lead is not passed back
+    EXPECT_NE(world.leader(), first);  // leadership does not move back
     for (const auto& line : world.invariants.violations()) ADD_FAILURE() << line;
   }
 }
 
-// What a transaction was written for.
+// Classifies a transaction by its first write.
 std::string kind_of_transaction(const Json& transaction) {
   const Json& first = transaction.at("apply").at(0);
-  if (first.contains("drop")) return "leftovers";
+  if (first.contains("drop")) return "garbage collection";
   std::string key = first.at("write");
   const Json& data = first.at("data");
   if (key == "leader") return data.contains("raised") ? "raised token" : "leader key";
-  if (key.starts_with("d/")) return "end of a job";
+  if (key.starts_with("d/")) return "finished job";
   if (key.starts_with("j/")) return data.contains("cancelled") ? "cancellation" : "submission";
   if (key.starts_with("m/")) return "images";
   if (key.starts_with("p/")) return data.contains("done") ? "completion" : "placement";
@@ -69,9 +71,9 @@
   return key;
 }
 
-// Plays a run with several leaders and carries out all its transactions once more when all jobs are
-// over and another one leads: each is refused, and leaves nothing behind.
-void refuses_late_transactions(std::uint64_t seed, std::map<std::string, int>& seen) {
+// Simulates a run with several leaders, then replays all its transactions after all jobs have
+// finished and another leader has been elected. Each must be rejected and leave no records behind.
+void expect_late_transactions_rejected(std::uint64_t seed, std::map<std::string, int>& seen) {
   SCOPED_TRACE("seed " + std::to_string(seed));
   FaultOptions faults;
   faults.lost_responses = 0.02;
@@ -86,35 +88,35 @@
   world.run(420);
   ASSERT_TRUE(world.users.all_jobs_finished()) << world.users.unfinished_jobs();
   with_leader(world, 421, [&](size_t leader) { world.crash(leader, 2); });
-  // The answers that an election needs may be late, too.
+  // The election may take longer, as its replies can be lost or delayed too.
   world.run(440);
   for (Seconds when = 441; when < 480 && world.leader() == kControllers; ++when) world.run(when);
   ASSERT_LT(world.leader(), kControllers);
   ASSERT_FALSE(world.store.has_keys("j/") || world.store.has_keys("p/"));
-  // A copy: no transaction below may count as one of the run.
+  // Copied, because the replays below are recorded as committed transactions as well.
   const auto transactions = world.network.committed_transactions;
   for (const auto& transaction : transactions) {
-    const std::string which = kind_of_transaction(Json::parse(transaction.second.body));
-    ++seen[which];
+    const std::string kind = kind_of_transaction(Json::parse(transaction.second.body));
+    ++seen[kind];
     const int status = world.replay_commit(transaction);
-    // The leader's key goes with its lease: without it the write is refused before its
-    // preconditions.
-    const bool leased = which == "leader key" || which == "raised token";
-    EXPECT_TRUE(status == 409 || (leased && status == 400)) << which << ": " << status;
+    // The leader key is written under a lease. Once the lease is gone, the write is rejected with
+    // 400 before its preconditions are checked.
+    const bool leased = kind == "leader key" || kind == "raised token";
+    EXPECT_TRUE(status == 409 || (leased && status == 400)) << kind << ": " << status;
   }
   EXPECT_FALSE(world.store.has_keys("j/") || world.store.has_keys("p/"));
   world.run(490);
   for (const auto& line : world.invariants.violations()) ADD_FAILURE() << line;
 }
 
-// A run with one seed need not have a transaction of each kind: a raised token is rare.
-TEST(LateTransactions, OfEveryKindAreRefused) {
+// Uses several seeds because a single run may lack a kind of transaction: raised tokens are rare.
+TEST(LateTransactions, OfEveryKindAreRejected) {
   std::map<std::string, int> seen;
-  for (const std::uint64_t seed : {1, 2, 3, 4, 5, 6}) refuses_late_transactions(seed, seen);
-  for (const char* which :
-       {"submission", "cancellation", "placement", "completion", "end of a job", "leader key",
-        "raised token", "images", "catalog", "leftovers", "version"}) {
-    EXPECT_GT(seen[which], 0) << which;
+  for (const std::uint64_t seed : {1, 2, 3, 4, 5, 6}) expect_late_transactions_rejected(seed, seen);
+  for (const char* kind :
+       {"submission", "cancellation", "placement", "completion", "finished job", "leader key",
+        "raised token", "images", "catalog", "garbage collection", "version"}) {
+    EXPECT_GT(seen[kind], 0) << kind;
   }
 }
 
--- a/tests/leader_lease_test.cpp
+++ b/tests/leader_lease_test.cpp
@@ -1,4 +1,4 @@
-// How long a leader may act and answer heartbeats after what it last proved.
+// How long a leader may act and answer heartbeats after its last confirmations.
 #include "coordination/election/leader_lease.hpp"
 
 #include <gtest/gtest.h>
@@ -8,8 +8,8 @@
 namespace larkroad::coordination {
 namespace {
 
-// The settings give a worker's lease of 12 s and a cancellation limit of 30 s, so the leader's
-// lease is 2 s and its grace period 30 s - 1.152 * 12 s.
+// The test settings have a worker lease of 12 s and a cancellation limit of 30 s. The leader lease
+// is therefore 2 s and its grace period 30 s - 1.152 * 12 s.
 constexpr Seconds kLease = 2;
 constexpr Seconds kGrace = 16.176;
 constexpr Seconds kGrantedAt = 100;
@@ -23,11 +23,11 @@
 TEST_F(LeaderLeaseTest, BoundsFollowFromTheSettings) {
   EXPECT_DOUBLE_EQ(LeaderLease::duration(settings), kLease);
   EXPECT_NEAR(LeaderLease::grace_period(settings), kGrace, 1e-9);
-  settings.cancellation_limit_s = 5;  // shorter than a worker's lease
+  settings.cancellation_limit_s = 5;  // shorter than the worker lease
   EXPECT_EQ(LeaderLease::grace_period(settings), 0);
 }
 
-TEST_F(LeaderLeaseTest, WithoutAViewNothingIsAllowed) {
+TEST_F(LeaderLeaseTest, NothingIsAllowedBeforeTheJobViewIsConfirmed) {
   EXPECT_TRUE(lease.is_held(kGrantedAt));
   EXPECT_FALSE(lease.allows_acting(kGrantedAt));
   EXPECT_FALSE(lease.allows_answering_heartbeats(kGrantedAt));
@@ -35,10 +35,10 @@
 
 TEST_F(LeaderLeaseTest, IsHeldForLessThanItsDuration) {
   EXPECT_TRUE(lease.is_held(kGrantedAt + 1.97));
-  EXPECT_FALSE(lease.is_held(kGrantedAt + 1.98));  // the drift of clocks and a timer's step less
+  EXPECT_FALSE(lease.is_held(kGrantedAt + 1.98));  // minus clock drift and timer resolution
   lease.renewed(kGrantedAt + 1);
   EXPECT_TRUE(lease.is_held(kGrantedAt + 2.97));
-  lease.renewed(kGrantedAt + 0.5);  // an earlier renewal whose reply came late
+  lease.renewed(kGrantedAt + 0.5);  // late reply to an earlier renewal
   EXPECT_TRUE(lease.is_held(kGrantedAt + 2.97));
 }
 
@@ -53,7 +53,7 @@
 
 class LeaderLeaseBounds : public ::testing::TestWithParam<BoundsCase> {};
 
-TEST_P(LeaderLeaseBounds, CountFromTheOlderProof) {
+TEST_P(LeaderLeaseBounds, CountFromTheOlderConfirmation) {
   const Settings settings = testing::settings();
   LeaderLease lease(settings, kGrantedAt);
   lease.renewed(kGrantedAt + GetParam().renewed_after);
@@ -76,9 +76,9 @@
 INSTANTIATE_TEST_SUITE_P(Cases, LeaderLeaseBounds, ::testing::ValuesIn(kBoundsCases),
                          [](const auto& info) { return std::string(info.param.name); });
 
-TEST_F(LeaderLeaseTest, TheViewIsOverdueAfterFourLeasesOfAnsweredRenewals) {
+TEST_F(LeaderLeaseTest, ViewIsOverdueAfterFourLeasesOfAnsweredRenewals) {
   lease.renewal_answered(kGrantedAt);
-  EXPECT_FALSE(lease.is_view_overdue(kGrantedAt + 100));  // the records are still being read
+  EXPECT_FALSE(lease.is_view_overdue(kGrantedAt + 100));  // the records are still being loaded
   lease.confirm_view(kGrantedAt + 1);
   EXPECT_FALSE(lease.is_view_overdue(kGrantedAt + 1 + 4 * kLease));
   EXPECT_TRUE(lease.is_view_overdue(kGrantedAt + 1.1 + 4 * kLease));
@@ -86,7 +86,7 @@
   EXPECT_FALSE(lease.is_view_overdue(kGrantedAt + 1.1 + 4 * kLease));
 }
 
-TEST_F(LeaderLeaseTest, TheViewIsNotOverdueForAnOutage) {
+TEST_F(LeaderLeaseTest, TimeOfAStoreOutageDoesNotCountTowardsAnOverdueView) {
   lease.confirm_view(kGrantedAt);
   lease.renewal_answered(kGrantedAt);
   lease.renewal_failed();
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -1,5 +1,5 @@
-// What operators met: jobs with a mistake, machines that send no heartbeats, leaders with a part of
-// their connections only.
+// Faults seen in operation: jobs whose tasks always fail, machines that send no heartbeats, and
+// leaders that have lost some of their connections.
 #include <gtest/gtest.h>
 
 #include "sim/scenario.hpp"
@@ -7,9 +7,9 @@
 namespace larkroad::sim {
 namespace {
 
-// A leader that holds its lease while its watch on the jobs goes unanswered starts nothing. Unless
-// it stepped down, nothing would start for as long as that lasts.
-TEST(Operations, ALeaderWhoseWatchAloneFailsStepsDown) {
+// A leader that renews its lease while its job watch is not answered may start no tasks. If it did
+// not step down, no task would start until the watch recovers.
+TEST(Operations, LeaderStepsDownIfOnlyItsJobWatchFails) {
   for (const std::uint64_t seed : {1, 2, 3}) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     World world(seed, {});
@@ -22,7 +22,7 @@
     });
     for (int k = 0; k < 5; ++k)
       world.users.submit(testing::spec("job-" + std::to_string(100 + k)), 32);
-    // Four of its leases, each a sixth of a worker's, and a failover.
+    // Four leader leases, each 1/6 of a worker lease; 5 s more are for the failover.
     const Seconds step_down_time = world.settings.lease_s * 4 / 6;
     world.run(30 + step_down_time + 5);
     ASSERT_LT(first, kControllers);
@@ -32,15 +32,16 @@
     const std::uint64_t second_token = world.controller(second).election().fencing_token();
     EXPECT_GT(second_token, fencing_token);
     world.run(120);
-    EXPECT_EQ(world.leader(), second) << "the lead is not passed to and fro";
+    EXPECT_EQ(world.leader(), second) << "leadership moved again";
     world.run(200);
     EXPECT_TRUE(world.users.all_jobs_finished()) << world.users.unfinished_jobs();
     expect_no_violations(world);
   }
 }
 
-// In an outage watches are not answered either, which is no reason to step down after it.
-TEST(Operations, ALeaderKeepsTheLeadAfterAnOutage) {
+// Watches are not answered during a store outage either; the leader must not step down for that
+// when the outage is over.
+TEST(Operations, LeaderKeepsLeadershipAfterAStoreOutage) {
   World world(1, {});
   world.run(30);
   const size_t leader = world.leader();
@@ -52,40 +53,40 @@
   EXPECT_EQ(world.leader(), leader);
 }
 
-void submit_jobs_with_a_mistake(World& world) {
+void submit_faulty_jobs(World& world) {
   for (int k = 0; k < 4; ++k) {
-    JobSpec wrong = testing::spec("job-" + std::to_string(100 + k), 8, 2);
-    wrong.shape = k >= 2 ? protocol::Shape::gang : protocol::Shape::array;
-    wrong.tasks = wrong.is_gang() ? 3 : 8;
-    wrong.team = k % 2 == 0 ? "red" : "blue";
-    world.tasks.faulty_jobs.insert(wrong.id);
-    world.users.submit(wrong, 5);
+    JobSpec faulty_job = testing::spec("job-" + std::to_string(100 + k), 8, 2);
+    faulty_job.shape = k >= 2 ? protocol::Shape::gang : protocol::Shape::array;
+    faulty_job.tasks = faulty_job.is_gang() ? 3 : 8;
+    faulty_job.team = k % 2 == 0 ? "red" : "blue";
+    world.tasks.faulty_jobs.insert(faulty_job.id);
+    world.users.submit(faulty_job, 5);
   }
 }
 
-// The longest time between two of these moments, or after the last of them until `end`.
-Seconds longest_pause(const std::vector<Seconds>& moments, Seconds end) {
-  Seconds longest = end - moments.back();
-  for (size_t i = 1; i < moments.size(); ++i) {
-    longest = std::max(longest, moments[i] - moments[i - 1]);
+// Returns the longest gap between consecutive times, or between the last one and `end`.
+Seconds longest_gap(const std::vector<Seconds>& times, Seconds end) {
+  Seconds longest = end - times.back();
+  for (size_t i = 1; i < times.size(); ++i) {
+    longest = std::max(longest, times[i] - times[i - 1]);
   }
   return longest;
 }
 
-// Jobs that were submitted with a mistake fail on every machine until their users cancel them. They
-// are tried now and then, hold no capacity meanwhile, and no machine is quarantined for them; a
-// faulty machine beside them is found nevertheless.
-TEST(Operations, JobsWithAMistakeDoNotAffectOthers) {
+// Faulty jobs fail on every machine until their users cancel them. They are retried with back-off,
+// hold no capacity between retries, and cause no machine to be quarantined; a faulty machine is
+// still detected while they run.
+TEST(Operations, FaultyJobsDoNotAffectOthers) {
   for (const std::uint64_t seed : {1, 2, 3}) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     World world(seed, {});
     world.cloud.capacity = 6;
-    submit_jobs_with_a_mistake(world);
+    submit_faulty_jobs(world);
     for (int k = 0; k < 60; ++k) {
-      JobSpec sound = testing::spec("job-" + std::to_string(200 + k), 1 + k % 3, 2);
-      sound.team = k % 2 == 0 ? "red" : "blue";
-      sound.estimate_s = 6;
-      world.users.submit(sound, 6 + 1.5 * k);
+      JobSpec healthy_job = testing::spec("job-" + std::to_string(200 + k), 1 + k % 3, 2);
+      healthy_job.team = k % 2 == 0 ? "red" : "blue";
+      healthy_job.estimate_s = 6;
+      world.users.submit(healthy_job, 6 + 1.5 * k);
     }
     const FakeWorker* faulty = nullptr;
     world.events.schedule_at(30, [&] {
@@ -98,15 +99,15 @@
     world.run(110);
     ASSERT_NE(faulty, nullptr);
     EXPECT_TRUE(faulty->terminated);
-    EXPECT_LE(world.terminated_machines(), 2u) << "sound machines were quarantined";
+    EXPECT_LE(world.terminated_machines(), 2u) << "healthy machines were quarantined";
     for (const auto& id : world.tasks.faulty_jobs) {
-      // All tasks until they have failed on three machines, then one in each pause.
+      // All tasks until the job has failed on three machines, then one task per back-off period.
       const auto& failures = world.tasks.failures[id];
       EXPECT_LE(failures.size(), 8u * 3 + 8) << id;
-      // It is not left waiting either.
-      EXPECT_LT(longest_pause(failures, 110), 90) << id;
+      // The job is still retried regularly.
+      EXPECT_LT(longest_gap(failures, 110), 90) << id;
     }
-    // Their users cancel them at last, and all is over soon.
+    // Once their users cancel them, all jobs finish soon.
     for (const auto& id : world.tasks.faulty_jobs) world.users.cancel(id);
     world.run(150);
     EXPECT_TRUE(world.users.all_jobs_finished()) << world.users.unfinished_jobs();
@@ -114,9 +115,9 @@
   }
 }
 
-// Where many machines fail whatever starts there, gangs find the sound ones soon: when some members
-// of a gang start on other machines, the machine is at fault and not the job.
-TEST(Operations, GangsFindTheSoundMachinesAmongFaultyOnes) {
+// With many machines on which every task fails, gangs are soon placed on healthy ones: if some
+// members of a gang start on other machines, the failure is attributed to the machine, not the job.
+TEST(Operations, GangsArePlacedOnHealthyMachinesDespiteFaultyOnes) {
   for (const std::uint64_t seed : {1, 2, 3}) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     World world(seed, {});
@@ -142,25 +143,25 @@
     size_t failures = 0;
     for (const auto& [id, times] : world.tasks.failures) failures += times.size();
     EXPECT_GT(failures, 0u);
-    // Twice for each faulty machine that was there, and what had been placed meanwhile.
+    // Two failures for each faulty machine, plus tasks placed there in the meantime.
     EXPECT_LE(failures, 3 * world.workers.size());
     expect_no_violations(world);
   }
 }
 
-// A job whose tasks fail some time after their start has a mistake as well: no machine is
-// quarantined for it, though its tasks start everywhere.
+// A job whose tasks fail some time after they start is faulty too: no machine is quarantined for
+// it, although its tasks start on every machine.
 TEST(Operations, NoMachineIsQuarantinedForAJobThatFailsLate) {
   World world(1, {});
-  JobSpec sound = testing::spec("job-101", 3, 9);
-  sound.types = {"large"};
-  sound.estimate_s = 100;
-  sound.team = "blue";
-  world.users.submit(sound, 2);
-  JobSpec wrong = testing::spec("job-100", 6, 2);
-  wrong.types = {"large"};
-  wrong.estimate_s = 300;
-  world.users.submit(wrong, 15);
+  JobSpec healthy_job = testing::spec("job-101", 3, 9);
+  healthy_job.types = {"large"};
+  healthy_job.estimate_s = 100;
+  healthy_job.team = "blue";
+  world.users.submit(healthy_job, 2);
+  JobSpec faulty_job = testing::spec("job-100", 6, 2);
+  faulty_job.types = {"large"};
+  faulty_job.estimate_s = 300;
+  world.users.submit(faulty_job, 15);
   for (Seconds when = 20; when < 100; when += 0.5) {
     world.events.schedule_at(when, [&world, when] {
       world.tasks.end_task({"job-100", static_cast<std::uint32_t>(when * 2) % 6}, "error");
@@ -170,10 +171,10 @@
   world.run(100);
   EXPECT_GE(world.tasks.starts_of("job-100").size(), 12u);
   const size_t machines = world.workers.size();
-  // Had they been quarantined, others would be requested for what comes next.
-  sound.id = "job-102";
-  sound.estimate_s = 5;
-  world.users.submit(sound, 112);
+  // If machines had been quarantined, the next job would cause new ones to be requested.
+  healthy_job.id = "job-102";
+  healthy_job.estimate_s = 5;
+  world.users.submit(healthy_job, 112);
   world.run(135);
   EXPECT_EQ(world.workers.size(), machines);
   EXPECT_EQ(world.tasks.starts_of("job-101").size(), 3u);
@@ -181,12 +182,12 @@
   expect_no_violations(world);
 }
 
-// A machine that answers calls, but whose own heartbeats have stopped, gets no new work: answers
-// renew no lease, so what starts there is lost when the lease expires.
-TEST(Operations, AMachineThatSendsNoHeartbeatsGetsNoWork) {
+// A machine that answers calls but sends no heartbeats gets no new tasks: its answers renew no
+// lease, so tasks started there would be lost when the lease expires.
+TEST(Operations, MachineWithoutHeartbeatsGetsNoTasks) {
   World world(1, {});
   world.cloud.capacity = 3;
-  // One task a machine, which leaves room beside it.
+  // One task per machine, which leaves some capacity free.
   JobSpec filling = testing::spec("job-100", 3, 9);
   filling.types = {"large"};
   filling.team = "blue";
@@ -217,14 +218,14 @@
   expect_no_violations(world);
 }
 
-// A worker begins a new incarnation in the moment between the record of a placement and its launch.
-// The launch was meant for the old incarnation; sent to the new one it would run a task that has
-// been placed on another machine by then.
-TEST(Operations, ALaunchIsNotSentToTheNextIncarnation) {
+// A worker restarts with a new incarnation after a placement is recorded and before it is launched.
+// The launch command is meant for the old incarnation. If it were sent to the new one, the worker
+// would run a task that has been placed on another machine by then.
+TEST(Operations, LaunchIsNotSentToTheNextIncarnation) {
   for (const std::uint64_t seed : {1, 2, 3, 4, 5}) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     FaultOptions faults;
-    faults.image_fetch_time = 0.005;  // it runs before the leader learns of it
+    faults.image_fetch_time = 0.005;  // the task runs before the leader learns of the restart
     World world(seed, faults);
     world.users.submit_random_jobs(60, 60);
     size_t seen = 0;
@@ -251,9 +252,10 @@
   }
 }
 
-// Commands for tasks of one machine that are stopped for one job go in one call: each call costs
-// the leader as much as a heartbeat, and an incident had several hundred of them a second.
-TEST(Operations, CommandsForOneMachineGoInOneCall) {
+// Commands that stop several tasks on one machine in favor of one job are batched into one call. A
+// call costs the leader as much as a heartbeat, and an incident had several hundred calls per
+// second.
+TEST(Operations, CommandsForOneMachineAreBatchedIntoOneCall) {
   World world(1, {});
   world.cloud.capacity = 1;
   JobSpec low = testing::spec("job-100", 8, 0.5);
