--- a/src/coordination/leader/leader.hpp
+++ b/src/coordination/leader/leader.hpp
@@ -60,7 +60,7 @@
   void end_term();
   /// Updates the machine types after a change of the machine catalog.
   void update_machine_types();
-  /// Whether the records are still being loaded.
+  /// Whether the records are still being loaded, so that heartbeats are delayed briefly.
   bool loading() const { return loading_; }
   /// See JobWatch::cancelled_by_peer.
   bool cancelled_by_peer(const std::string& id) { return job_watch_.cancelled_by_peer(id); }
@@ -133,9 +133,8 @@
   ClusterState cluster_;
   GangReservations gang_reservations_;
   RelayAssignment relay_assignment_;
-  std::map<std::string, storage::Images>
-      recovered_images_;  // by machine that has not sent a heartbeat yet
-  LagMeter lag_;          // lag of the periodic tasks
+  std::map<std::string, storage::Images> recovered_images_;  // of machines without a heartbeat yet
+  LagMeter lag_;                                             // lag of the periodic tasks
   Seconds next_periodic_run_ = 0;
   LeaderActivity activity_;
   RemovedMachines removed_machines_;
