--- a/src/coordination/cluster_state/class_statistics.cpp
+++ b/src/coordination/cluster_state/class_statistics.cpp
@@ -6,23 +6,24 @@
 namespace larkroad::coordination {
 namespace {
 
-// A replica of a service runs until its user cancels the job: for longer than anything is planned.
+// A replica of a service runs until its job is cancelled. The value exceeds every planning horizon.
 constexpr Seconds kServiceRunTime = 1e7;
-// The weight of the latest task in the averages of its class.
+// The weight of the newest sample in the moving averages of a class.
 constexpr double kLearningRate = 0.1;
-// A task that went on from a checkpoint, or a wild estimate, must not turn the class.
-constexpr double kLeastRunRatio = 0.25;
-constexpr double kMostRunRatio = 4.0;
-// Arrivals are averaged over this many times what a cancellation may take: long against the tasks
-// of today's deployments, short against the day.
-constexpr double kDecayRatio = 4;
+// Bounds of one sample, so that a task resumed from a checkpoint or a grossly wrong estimate does
+// not distort the average of its class.
+constexpr double kMinRunTimeRatio = 0.25;
+constexpr double kMaxRunTimeRatio = 4.0;
+// The time constant of the decay of arrivals, as a multiple of the time limit for cancellations.
+// The result is long compared with typical task run times and short compared with a day.
+constexpr double kDecayTimeRatio = 4;
 
 }  // namespace
 
 Seconds WorkloadStatistics::expected_run(const JobSpec& spec) const {
   if (spec.is_service()) return kServiceRunTime;
   const auto it = classes_.find(spec.job_class);
-  return spec.estimate_s * (it == classes_.end() ? 1 : it->second.run_ratio);
+  return spec.estimate_s * (it == classes_.end() ? 1 : it->second.run_time_ratio);
 }
 
 void WorkloadStatistics::learn_run(const JobSpec& spec, Seconds run_time) {
@@ -34,32 +35,32 @@
     mean = run_time;
   }
   if (spec.estimate_s <= 0) return;
-  const double ratio = std::clamp(run_time / spec.estimate_s, kLeastRunRatio, kMostRunRatio);
-  statistics.run_ratio += (ratio - statistics.run_ratio) * kLearningRate;
+  const double ratio = std::clamp(run_time / spec.estimate_s, kMinRunTimeRatio, kMaxRunTimeRatio);
+  statistics.run_time_ratio += (ratio - statistics.run_time_ratio) * kLearningRate;
 }
 
 void WorkloadStatistics::learn_arrival(const Job& job) {
   ClassStatistics& statistics = classes_[job.spec.job_class];
-  // Jobs come in any order when they are read back; an older one counts by its age.
-  const Seconds latest = std::max(statistics.weighted_to, job.submitted);
-  const double decay = std::exp(-(latest - statistics.weighted_to) / decay_time());
+  // Recovery reads jobs in any order; an older job is weighted by its age.
+  const Seconds latest = std::max(statistics.weights_as_of, job.submitted);
+  const double decay = std::exp(-(latest - statistics.weights_as_of) / decay_time());
   const double weight = std::exp(-(latest - job.submitted) / decay_time());
   const double size = job.spec.tasks;
   statistics.weighted_tasks = statistics.weighted_tasks * decay + size * weight;
   statistics.weighted_squares = statistics.weighted_squares * decay + size * size * weight;
   for (auto& [team, tasks] : statistics.weighted_tasks_by_team) tasks *= decay;
   statistics.weighted_tasks_by_team[job.spec.team] += size * weight;
-  if (job.submitted >= statistics.weighted_to) statistics.latest = job.spec;
-  statistics.weighted_to = latest;
+  if (job.submitted >= statistics.weights_as_of) statistics.latest = job.spec;
+  statistics.weights_as_of = latest;
 }
 
 double WorkloadStatistics::arrival_rate(const ClassStatistics& statistics, Seconds now) const {
-  const Seconds age = std::max(0.0, now - statistics.weighted_to);
+  const Seconds age = std::max(0.0, now - statistics.weights_as_of);
   return statistics.weighted_tasks * std::exp(-age / decay_time()) / decay_time();
 }
 
 Seconds WorkloadStatistics::decay_time() const {
-  return settings_.cancellation_limit_s * kDecayRatio;
+  return settings_.cancellation_limit_s * kDecayTimeRatio;
 }
 
 }  // namespace larkroad::coordination
--- a/src/coordination/cluster_state/class_statistics.hpp
+++ b/src/coordination/cluster_state/class_statistics.hpp
@@ -1,7 +1,7 @@
-/// What the jobs of each class have been like: how many tasks arrive, and how long they run.
+/// Arrival and run-time statistics for each class of jobs.
 ///
-/// Learnt by the leader from the jobs that it loads and from tasks that complete. Read by the work
-/// queue (expected run times) and by the forecast of demand (arrival rates).
+/// The leader updates them from the jobs that it loads and the tasks that complete. The job queue
+/// reads the expected run times, the demand forecast the arrival rates.
 #pragma once
 
 #include <map>
@@ -15,39 +15,38 @@
 
 namespace larkroad::coordination {
 
-/// Statistics of one class of jobs. Arrivals are weighted: each counts for less the longer ago it
-/// was, by an exponential decay.
+/// Statistics of one class of jobs. Arrivals are weighted by exponential decay with their age.
 struct ClassStatistics {
-  JobSpec latest;             ///< of the job submitted last
-  double weighted_tasks = 0;  ///< tasks that have arrived
-  /// The sum of the squared sizes of the jobs, which gives the variance of arrivals.
+  JobSpec latest;             ///< specification of the most recently submitted job
+  double weighted_tasks = 0;  ///< weighted number of tasks that have arrived
+  /// Weighted sum of the squared job sizes, from which the variance of arrivals is computed.
   double weighted_squares = 0;
   std::map<std::string, double> weighted_tasks_by_team;
-  Seconds weighted_to = 0;               ///< the time to which the weights are reckoned
-  double run_ratio = 1;                  ///< run time over the owners' estimates
-  std::optional<Seconds> mean_run_time;  ///< of a task; none while no run has been measured
+  Seconds weights_as_of = 0;             ///< the time for which the weights were last computed
+  double run_time_ratio = 1;             ///< average of actual run time / owner's estimate
+  std::optional<Seconds> mean_run_time;  ///< of a task; empty until a run has been measured
 };
 
-/// Learns the statistics of all classes.
+/// Maintains the statistics of all classes.
 class WorkloadStatistics {
  public:
-  /// `settings` must outlive this.
+  /// `settings` must outlive this object.
   explicit WorkloadStatistics(const Settings& settings) : settings_(settings) {}
 
-  /// How long a task of the job is expected to run: its owner's estimate, corrected by what the
-  /// tasks of its class have shown. For a service longer than anything is planned ahead.
+  /// The expected run time of a task of the job: its owner's estimate, corrected by the observed
+  /// ratio of its class. For a service, a value beyond every planning horizon.
   Seconds expected_run(const JobSpec& spec) const;
-  /// Learns from a task of the job that has completed after running for `run_time`.
+  /// Updates the statistics with a task of the job that completed after `run_time`.
   void learn_run(const JobSpec& spec, Seconds run_time);
-  /// Learns from the submission of the job. Jobs may come in any order.
+  /// Updates the statistics with the submission of the job. Jobs may be added in any order.
   void learn_arrival(const Job& job);
-  /// Tasks of the class that arrive in a second, on average.
+  /// The average arrival rate of tasks of the class, per second.
   double arrival_rate(const ClassStatistics& statistics, Seconds now) const;
-  /// By the name of the class.
+  /// Statistics by class name.
   const std::map<std::string, ClassStatistics>& classes() const { return classes_; }
 
  private:
-  /// The time constant of the decay of arrivals.
+  /// The time constant of the exponential decay of arrivals.
   Seconds decay_time() const;
 
   const Settings& settings_;
--- a/src/coordination/cluster_state/cluster_state.cpp
+++ b/src/coordination/cluster_state/cluster_state.cpp
@@ -5,8 +5,8 @@
 namespace larkroad::coordination {
 namespace {
 
-// How long completed tasks are batched for one write, as a part of the heartbeat interval.
-constexpr double kBatchRatio = 1.0 / 4;
+// How long completions are collected for one write, as a fraction of the heartbeat interval.
+constexpr double kCompletionBatchRatio = 1.0 / 4;
 
 }  // namespace
 
@@ -22,12 +22,13 @@
   job->spec = record.spec;
   job->revision = revision;
   job->submitted_at = record.submitted_at;
-  job->submitted = record.submitted_at - day_offset_;
+  job->submitted = record.submitted_at - wall_clock_offset_;
   job->tasks_per_shard = record.tasks_per_shard;
   job->cancelled = record.cancelled;
   job->done.assign(record.spec.tasks, false);
   if (has_oversized_shards(*job)) {
-    // Tasks of several shards are placed in turn, so not in the order of their numbers.
+    // Tasks are placed from several shards in turn and hence not in numerical order, so all of them
+    // are queued individually.
     for (std::uint32_t task = 0; task < job->spec.tasks; ++task) {
       job->requeued.insert(job->requeued.end(), task);
     }
@@ -61,8 +62,8 @@
                                       Seconds now) {
   job.shards[shard] = {revision, record.attempt, false, 0};
   const ShardBounds range = tasks_of_shard(job, shard);
-  // A replica of a service is never done, whatever a controller that took it for an array's task
-  // has recorded.
+  // A replica of a service is never done. A first-version controller, which treats it as a task of
+  // an array job, may nevertheless have recorded it as done.
   if (!job.spec.is_service()) restore_done(job, record.done, range.end);
   for (const storage::PlacedTask& placed : record.placed) {
     if (placed.task >= range.end || job.done[placed.task]) continue;
@@ -95,12 +96,13 @@
   if (job.spec.is_gang()) job.gang_attempt = std::max(job.gang_attempt, placed.attempt);
 }
 
-// Brings `requeued` and `next_never_placed` in line with a shard that has just been restored.
+// Updates `requeued` and `next_never_placed` for a shard that has just been restored.
 void ClusterState::requeue_waiting(Job& job, const ShardBounds& shard) {
   const auto waits = [&job](std::uint32_t task) {
     return !job.done[task] && !job.placements.contains(task);
   };
-  // Shards are written as they are needed, so every task up to this one may have been placed.
+  // A shard's record is written when its first task is placed, so any task before this shard may
+  // have been placed.
   for (std::uint32_t task = job.next_never_placed; task < shard.first; ++task) {
     if (waits(task)) job.requeued.insert(task);
   }
@@ -198,7 +200,7 @@
     machine->used_by_priority[static_cast<size_t>(job.spec.priority)] -= need;
     machine->tasks.erase({job.id(), task});
     if (machine->tasks.empty()) {
-      // What rounding has left of the sums goes.
+      // Discards accumulated rounding errors.
       machine->used = {};
       machine->used_by_priority = {};
       machine->idle_since = now;
@@ -206,8 +208,8 @@
   }
   used_by_team_[job.spec.team] -= need;
   job.placements.erase(it);
-  // The attempt is over with its last task, however that ended: some may be done, and the rest
-  // lost with their machines.
+  // The attempt ends with its last task, whatever the outcome: some tasks may have completed and
+  // the others been lost with their machines.
   if (job.spec.is_gang() && job.placements.empty()) {
     job.gang_aborting = false;
     job.gang_started = false;
@@ -227,9 +229,10 @@
   job.done[task] = true;
   ++job.done_count;
   job.unpersisted_done.insert(task);
-  // Completions of a job that goes on are batched: one write then records several. The state that
-  // users see may lag by 3 s; the job's last completion is not delayed by this.
-  job.shards[job.shard_of(task)].write(now + settings_.heartbeat_interval_s * kBatchRatio);
+  // Completions of an unfinished job are batched so that one write records several. The state shown
+  // to users may lag by up to 3 s; the last completion of a job is not delayed.
+  job.shards[job.shard_of(task)].write(now +
+                                       settings_.heartbeat_interval_s * kCompletionBatchRatio);
   job.failures = 0;
   job.failed_machines.clear();
 }
--- a/src/coordination/cluster_state/cluster_state.hpp
+++ b/src/coordination/cluster_state/cluster_state.hpp
@@ -1,12 +1,12 @@
-/// The leader's state of the whole cluster: jobs, machines, placements, quota use and machine
+/// The leader's in-memory state of the cluster: jobs, machines, placements, quota usage and machine
 /// types.
 ///
-/// Owned by the leader, on the one thread of the event loop. Holds plain data: no I/O, and no clock
-/// of its own. The scheduling cycle and the autoscaler read it; the leader's parts change it as
-/// records are read, heartbeats arrive and decisions are made.
+/// Owned by the leader and used only on the event loop's thread. Holds plain data: it performs no
+/// I/O and reads no clock. The scheduling cycle and the autoscaler read it; components of the
+/// leader update it when records are read, heartbeats arrive or decisions are made.
 ///
-/// Invariant: a machine's `used`, `used_by_priority` and `tasks` and a team's use equal the sums
-/// over all placements, as placements are only added by `place` and removed by `unplace` and
+/// Invariant: a machine's `used`, `used_by_priority` and `tasks` and each team's usage equal the
+/// sums over all placements. Placements are added only by `place` and removed only by `unplace` and
 /// `finish`.
 #pragma once
 
@@ -31,20 +31,21 @@
 
 class ClusterState {
  public:
-  /// `settings` must outlive this.
+  /// `settings` must outlive this object.
   explicit ClusterState(const Settings& settings) : settings_(settings), workload_(settings) {}
 
-  /// Forgets jobs, machines and quota use, as at the end of a term of leadership. Machine types and
-  /// class statistics stay.
+  /// Removes all jobs, machines and quota usage, at the end of a term of leadership. Machine types
+  /// and class statistics are kept.
   void clear();
-  /// Sets the time of day less the steady time, by which times of day become steady ones.
-  void set_day_offset(double offset) { day_offset_ = offset; }
+  /// Sets the offset of the wall clock from the steady clock (wall-clock time minus steady time),
+  /// used to convert recorded wall-clock times.
+  void set_day_offset(double offset) { wall_clock_offset_ = offset; }
 
   // Jobs.
 
-  /// Adds the job of a record, with all its tasks waiting. Replaces a job of the same id.
+  /// Adds a job from its record, with all of its tasks waiting. Replaces a job with the same id.
   Job& add_job(const std::string& id, const storage::JobRecord& record, std::uint64_t revision);
-  /// Null when there is no such job.
+  /// Returns nullptr when there is no such job.
   Job* job(const std::string& id);
   const Job* job(const std::string& id) const;
   void remove_job(const std::string& id);
@@ -52,54 +53,55 @@
 
   // Placement records.
 
-  /// Takes over the placements and completions that an earlier leader has recorded for a shard. The
-  /// shards of a job may come in any order. Each placement counts as a launch that may still be
-  /// carried out under `uncertain_fencing_token`.
+  /// Restores the placements and completions that an earlier leader recorded for a shard. Shards of
+  /// a job may be restored in any order. Each placement is treated as a launch that may still be
+  /// executed under `uncertain_fencing_token`.
   void restore_placements(Job& job, std::uint32_t shard, const storage::PlacementRecord& record,
                           std::uint64_t revision, std::uint64_t uncertain_fencing_token,
                           Seconds now);
-  /// Whether the job was accepted under larger limits of the key-value store, so that one record
-  /// may not hold the placements of all tasks of a shard.
+  /// Whether the job was accepted when the key-value store had larger limits, so that the
+  /// placements of all tasks of one shard may not fit into its record.
   bool has_oversized_shards(const Job& job) const;
-  /// By how many bytes the shard's record may still grow.
+  /// The number of bytes by which the shard's record may still grow.
   size_t record_bytes_left(const Job& job, std::uint32_t shard) const;
-  /// The record of the shard as it should be stored now.
+  /// Builds the record of the shard from the current state.
   static storage::PlacementRecord placement_record(const Job& job, std::uint32_t shard);
 
-  // Machines, in the order of their names.
+  // Machines, ordered by name.
 
-  /// The machine of this name; added when it is unknown.
+  /// Returns the machine with this name; adds it when it is unknown.
   Machine& machine(const std::string& name);
-  /// Null when there is no such machine.
+  /// Returns nullptr when there is no such machine.
   Machine* find_machine(const std::string& name);
   const Machine* find_machine(const std::string& name) const;
   void remove_machine(const std::string& name);
   std::map<std::string, Machine>& machines() { return machines_; }
   const std::map<std::string, Machine>& machines() const { return machines_; }
-  /// Sets the machine's type, and its capacity where the type is known.
+  /// Sets the machine's type, and its capacity if the type is in the catalog.
   void set_type(Machine& machine, const std::string& type) const;
 
-  // Placements. They take capacity and quota from `place` until `unplace` or `finish`.
+  // Placements. A placement occupies capacity and quota from `place` until `unplace` or `finish`.
 
   Placement& place(Job& job, std::uint32_t task, Machine& machine, std::uint64_t attempt,
                    Seconds now);
-  /// The task is proved to be gone without having completed: it waits to be placed again.
+  /// Removes the placement of a task that has certainly ended without completing, and requeues the
+  /// task.
   void unplace(Job& job, std::uint32_t task, Seconds now);
-  /// The task has completed; its shard's record is to be written.
+  /// Marks the task as completed and schedules the write of its shard's record.
   void finish(Job& job, std::uint32_t task, Seconds now);
 
-  /// What the placements of the team's jobs take of its quota.
+  /// The share of its quota that the placements of the team's jobs use.
   Resources used_by(const std::string& team) const;
 
   // Machine types.
 
-  /// Sets the catalog; machines of known types get their capacity from it.
+  /// Replaces the catalog and updates the capacity of machines whose type it contains.
   void set_types(std::vector<MachineType> types);
   const std::vector<MachineType>& types() const { return types_; }
-  /// Null when there is no such type.
+  /// Returns nullptr when there is no such type.
   const MachineType* type(const std::string& name) const;
 
-  // Class statistics; see WorkloadStatistics.
+  // Class statistics, see WorkloadStatistics.
 
   Seconds expected_run(const JobSpec& spec) const { return workload_.expected_run(spec); }
   void learn_run(const JobSpec& spec, Seconds run_time) { workload_.learn_run(spec, run_time); }
@@ -112,7 +114,7 @@
   const Settings& settings() const { return settings_; }
 
  private:
-  /// The tasks of a shard: from `first` on, before `end`.
+  /// The half-open range of tasks of a shard: `first` included, `end` excluded.
   struct ShardBounds {
     std::uint32_t first;
     std::uint32_t end;
@@ -123,11 +125,11 @@
   void restore_placement(Job& job, const storage::PlacedTask& placed,
                          std::uint64_t uncertain_fencing_token, Seconds now);
   static void requeue_waiting(Job& job, const ShardBounds& shard);
-  /// Ends the task's placement, if it has one, and gives its capacity and quota free.
+  /// Removes the task's placement, if it has one, and frees its capacity and quota.
   void remove_placement(Job& job, std::uint32_t task, Seconds now);
 
   const Settings& settings_;
-  double day_offset_ = 0;
+  double wall_clock_offset_ = 0;
   WorkloadStatistics workload_;
   std::unordered_map<std::string, std::unique_ptr<Job>> jobs_;
   std::map<std::string, Machine> machines_;
--- a/src/coordination/cluster_state/job.cpp
+++ b/src/coordination/cluster_state/job.cpp
@@ -5,9 +5,8 @@
 namespace larkroad::coordination {
 namespace {
 
-// Of the machines on which a job has started so many are kept: two show for any machine whether
-// there is another one.
-constexpr size_t kStartedMachinesKept = 2;
+// Two machines are enough to tell, for any given machine, whether the job started on another one.
+constexpr size_t kMaxStartedMachines = 2;
 
 }  // namespace
 
@@ -16,7 +15,7 @@
 }
 
 void Job::note_start(const std::string& machine) {
-  if (started_machines.size() < kStartedMachinesKept) started_machines.insert(machine);
+  if (started_machines.size() < kMaxStartedMachines) started_machines.insert(machine);
 }
 
 bool Job::succeeds_elsewhere_than(const std::string& machine) const {
--- a/src/coordination/cluster_state/machine.cpp
+++ b/src/coordination/cluster_state/machine.cpp
@@ -10,10 +10,10 @@
   return out;
 }
 
-bool Machine::usable(Seconds now, Seconds patience) const {
-  return now - last_worker_heartbeat_at <= patience && has_reported && identity_confirmed &&
-         unreachable_since < 0 && !lease_expired && !being_released && !quarantined &&
-         !reclaimed_at && now >= refused_until && !address.empty();
+bool Machine::usable(Seconds now, Seconds max_heartbeat_age) const {
+  return now - last_worker_heartbeat_at <= max_heartbeat_age && has_reported &&
+         identity_confirmed && unreachable_since < 0 && !lease_expired && !being_released &&
+         !quarantined && !reclaimed_at && now >= refused_until && !address.empty();
 }
 
 void Machine::touch_image(const std::string& image, double gb, double cache_gb, Seconds now) {
--- a/src/coordination/cluster_state/machine_eligibility.hpp
+++ b/src/coordination/cluster_state/machine_eligibility.hpp
@@ -1,7 +1,7 @@
-/// Which machine types may run a job's tasks, and how soon one could start there.
+/// Which machine types may run a job's tasks, and how long a start on them takes.
 ///
-/// Pure functions of the catalog of machine types; used to filter machines in the scheduling cycle
-/// and markets in the autoscaler.
+/// Pure functions of the machine type catalog. The scheduling cycle uses them to filter machines,
+/// the autoscaler to filter markets.
 #pragma once
 
 #include <optional>
@@ -14,22 +14,22 @@
 
 namespace larkroad::coordination {
 
-/// Whether a machine of this type and zone, spot or on demand, may run the job's tasks at all: by
-/// the job's constraints and by the capacity of the type.
+/// Whether a machine of this type and zone, spot or on demand, satisfies the job's constraints and
+/// has the capacity for one of its tasks.
 bool allows(const protocol::JobSpec& spec, const protocol::MachineType& type,
             const std::string& zone, bool spot);
 
-/// How long a machine of this type fetches the job's image, with the network to itself.
+/// How long a machine of this type takes to fetch the job's image at full network bandwidth.
 transport::Seconds fetch_time(const protocol::JobSpec& spec, const protocol::MachineType& type);
 
-/// Where a task would start.
+/// The kind of machine on which a task would start.
 enum class StartsOn {
-  running_machine,  ///< one that is up, without the job's image
-  new_machine,      ///< one that has to boot first
+  running_machine,  ///< already running, but without the job's image
+  new_machine,      ///< must boot first
 };
 
-/// The shortest time in which a task of the job can start, over all types that may run it on
-/// demand; none when no type may.
+/// The shortest start time of a task of the job over all eligible types, on demand; empty when no
+/// type is eligible.
 std::optional<transport::Seconds> shortest_start_time(
     const std::vector<protocol::MachineType>& types, const protocol::JobSpec& spec,
     StartsOn starts_on);
--- a/src/coordination/cluster_state/placement.hpp
+++ b/src/coordination/cluster_state/placement.hpp
@@ -1,7 +1,7 @@
-/// The leader's knowledge of one task's placement on a machine, and of the record it is stored in.
+/// The leader's state of one task's placement on a machine, and of the record that stores it.
 ///
-/// Owned by a `Job`; created and removed only by `ClusterState`, which keeps the machine's and the
-/// team's use of resources in step.
+/// Owned by a `Job`; created and removed only by `ClusterState`, which updates the resource usage
+/// of the machine and the team accordingly.
 #pragma once
 
 #include <algorithm>
@@ -16,48 +16,47 @@
 using protocol::TaskState;
 using transport::Seconds;
 
-/// A task on a machine, from the moment the decision is made until the task is proved to be gone.
-/// Times are by the steady clock.
+/// A task assigned to a machine, from the scheduling decision until the task has certainly ended.
+/// Times are on the steady clock.
 struct Placement {
   enum class Stage {
-    persisting,    ///< decided; its record is not yet durable, so nothing has been sent
-    persisted,     ///< durable; nothing has been sent under this leader
-    dispatched,    ///< sent; no heartbeat of the worker has listed it yet
-    acknowledged,  ///< the worker's heartbeats list it
+    persisting,    ///< decided; the record is not durable yet, so the launch has not been sent
+    persisted,     ///< the record is durable; this leader has not sent the launch
+    dispatched,    ///< launch sent; no heartbeat from the worker has listed the task yet
+    acknowledged,  ///< the worker's heartbeats list the task
   };
   std::uint32_t task = 0;
   std::uint64_t attempt = 0;
   std::string machine;
   std::uint64_t incarnation = 0;  ///< of the worker's agent when the task was placed
   Stage stage = Stage::persisting;
-  TaskState state = TaskState::fetching;  ///< as last reported; valid once acknowledged
-  /// Found in the records of an earlier leader and not reported by the worker since. It may have
-  /// ended long ago: the earlier leader then used its resources and its part of the quota for
-  /// others.
+  TaskState state = TaskState::fetching;  ///< last reported state; valid once acknowledged
+  /// Restored from the records of an earlier leader and not reported by the worker since. The task
+  /// may have ended long ago, and the earlier leader may have reassigned its resources and quota.
   bool recovered = false;
   bool stopping = false;
-  double grace_s = 0;      ///< time to save a checkpoint, when it is being stopped
-  Seconds stop_sent = -1;  ///< -1: no stop has been sent
+  double grace_s = 0;      ///< time allowed to save a checkpoint while stopping
+  Seconds stop_sent = -1;  ///< when a stop was sent; -1: never
   Seconds placed_at = 0;
-  Seconds running_since = -1;  ///< -1: not reported as running yet
+  Seconds running_since = -1;  ///< when it was first reported as running; -1: not yet
   /// A replica of a service that has run long enough to count as a success.
   bool proven = false;
 };
 
-/// How often in a row a replica of a service has ended by itself, and when it may start again.
+/// Restart back-off of one replica of a service.
 struct ReplicaRestarts {
-  int ends = 0;
-  Seconds retry_at = 0;  ///< not placed before this
+  int ends = 0;          ///< consecutive times that the replica exited by itself
+  Seconds retry_at = 0;  ///< earliest time of the next placement
 };
 
-/// The leader's view of one stored placement record: a shard is a range of a job's tasks whose
+/// The leader's state of one stored placement record. A shard is a range of a job's tasks whose
 /// placements and completions are stored under one key.
 struct PlacementShard {
-  std::uint64_t revision = 0;  ///< of the record as last read or written; 0: there is none
+  std::uint64_t revision = 0;  ///< of the record as last read or written; 0: no record exists
   std::uint64_t attempt = 0;   ///< the highest attempt of any of its tasks
-  bool dirty = false;          ///< differs from the record, which is to be written
-  Seconds write_at = 0;        ///< when dirty: not written before this
-  /// Asks for the record to be written at `when`, or sooner if that was asked for before.
+  bool dirty = false;          ///< the stored record is out of date and must be written
+  Seconds write_at = 0;        ///< when dirty: the earliest time of the write
+  /// Schedules a write of the record at `when`, or earlier if one is already scheduled.
   void write(Seconds when) {
     write_at = dirty ? std::min(write_at, when) : when;
     dirty = true;
--- a/src/coordination/cluster_state/resources.cpp
+++ b/src/coordination/cluster_state/resources.cpp
@@ -6,8 +6,8 @@
 namespace larkroad::coordination {
 namespace {
 
-// Amounts are decimals: sums of them are compared with this much leeway.
-constexpr double kRounding = 1e-6;
+// Tolerance for rounding errors in sums of decimal amounts.
+constexpr double kTolerance = 1e-6;
 
 }  // namespace
 
@@ -26,14 +26,14 @@
 }
 
 bool Resources::fits(const Resources& need) const {
-  return need.cpus <= cpus + kRounding && need.gpus <= gpus + kRounding &&
-         need.memory_gb <= memory_gb + kRounding;
+  return need.cpus <= cpus + kTolerance && need.gpus <= gpus + kTolerance &&
+         need.memory_gb <= memory_gb + kTolerance;
 }
 
 std::uint32_t Resources::times(const Resources& need) const {
   double count = protocol::kMaxTasksPerJob;
   const auto limit_by = [&count](double available, double each) {
-    if (each > 0) count = std::min(count, std::floor((available + kRounding) / each));
+    if (each > 0) count = std::min(count, std::floor((available + kTolerance) / each));
   };
   limit_by(cpus, need.cpus);
   limit_by(gpus, need.gpus);
--- a/src/coordination/cluster_state/resources.hpp
+++ b/src/coordination/cluster_state/resources.hpp
@@ -1,6 +1,6 @@
-/// Amounts of CPUs, GPUs and memory, and the arithmetic on them.
+/// Amounts of CPUs, GPUs and memory, and arithmetic on them.
 ///
-/// Shared by the cluster's bookkeeping, bin packing, quotas and the autoscaler. Plain values.
+/// Plain value types shared by the cluster state, bin packing, quotas and the autoscaler.
 #pragma once
 
 #include <array>
@@ -15,8 +15,8 @@
 using protocol::JobSpec;
 using protocol::MachineType;
 
-/// Amounts of the resources that are scheduled. Sums and differences go resource by resource and
-/// may be negative, as what a quota leaves is once the quota has been reduced.
+/// Amounts of the scheduled resources. Addition and subtraction are component-wise. Results may be
+/// negative, for example the remainder of a quota that was reduced below its usage.
 struct Resources {
   double cpus = 0;
   double gpus = 0;
@@ -25,23 +25,23 @@
   bool operator==(const Resources&) const = default;
   Resources& operator+=(const Resources& other);
   Resources& operator-=(const Resources& other);
-  /// Whether `need` fits into this. Amounts are decimals, so sums are compared with some leeway.
+  /// Whether `need` fits into these amounts, with a tolerance for rounding errors.
   bool fits(const Resources& need) const;
-  /// How many times `need` fits into this; at most `protocol::kMaxTasksPerJob`.
+  /// How many times `need` fits into these amounts; at most `protocol::kMaxTasksPerJob`.
   std::uint32_t times(const Resources& need) const;
 };
 
-/// The smaller amount of each resource by itself.
+/// The component-wise minimum.
 Resources least_of(const Resources& a, const Resources& b);
 
 /// The number of job priorities.
 inline constexpr size_t kPriorities = static_cast<size_t>(protocol::Priority::low) + 1;
-/// One amount for each priority, the most important priority first.
+/// Amounts by priority, highest priority first.
 using ResourcesByPriority = std::array<Resources, kPriorities>;
 
-/// What one task of the job asks for.
+/// The resources that one task of the job requests.
 Resources needs_of(const JobSpec& spec);
-/// What a machine of this type has in all.
+/// The total capacity of a machine of this type.
 Resources capacity_of(const MachineType& type);
 
 }  // namespace larkroad::coordination
