--- a/src/coordination/records/garbage_collector.cpp
+++ b/src/coordination/records/garbage_collector.cpp
@@ -12,7 +12,7 @@
 void GarbageCollector::begin_term() {
   scope_.restart();
   keys_.clear();
-  collecting_ = false;
+  transaction_in_flight_ = false;
 }
 
 void GarbageCollector::end_term() { scope_.restart(); }
@@ -22,11 +22,11 @@
 }
 
 void GarbageCollector::collect() {
-  if (collecting_ || keys_.empty() || !leadership_.is_leader()) return;
-  collecting_ = true;
+  if (transaction_in_flight_ || keys_.empty() || !leadership_.is_leader()) return;
+  transaction_in_flight_ = true;
   const storage::Transaction transaction = next_transaction();
   const auto on_reply = [this, keys = transaction.deletes](const storage::CommitReply& reply) {
-    collecting_ = false;
+    transaction_in_flight_ = false;
     if (reply.status != storage::Status::ok) add(keys);
     if (!keys_.empty()) scope_.after(settings_.heartbeat_interval_s, [this] { collect(); });
   };
--- a/src/coordination/records/garbage_collector.hpp
+++ b/src/coordination/records/garbage_collector.hpp
@@ -1,4 +1,4 @@
-/// Deletes records that nothing needs any more.
+/// Deletes obsolete records from the key-value store.
 #pragma once
 
 #include <string>
@@ -12,24 +12,24 @@
 
 namespace larkroad::coordination {
 
-/// Records of finished jobs and of removed machines, deleted in the background: one transaction at
-/// a time, and a heartbeat interval between two. What a term of leadership does not get done is
-/// found again by the next leader when it recovers the state.
+/// Deletes the records of finished jobs and removed machines in the background, one transaction at
+/// a time, with a pause of one heartbeat interval between transactions. The next leader finds the
+/// records that are left at the end of a term when it recovers the state.
 class GarbageCollector {
  public:
   GarbageCollector(transport::Clock& clock, storage::KeyValueClient& store,
                    const Leadership& leadership, const Settings& settings,
                    const TransactionLimit& limit);
 
-  /// Forgets everything of an earlier term.
+  /// Discards the state of the previous term.
   void begin_term();
-  /// Answers and timers that are under way have no effect any more.
+  /// Drops the callbacks of outstanding requests and timers.
   void end_term();
 
-  /// The record under this key may be deleted; `collect` does so.
+  /// Queues the record under this key for deletion by `collect`.
   void add(std::string key) { keys_.push_back(std::move(key)); }
   void add(const std::vector<std::string>& keys);
-  /// Begins to delete, unless a transaction is under way already.
+  /// Starts deleting, unless a transaction is in flight.
   void collect();
 
  private:
@@ -39,9 +39,9 @@
   const Leadership& leadership_;
   const Settings& settings_;
   const TransactionLimit& limit_;
-  transport::CallbackScope scope_;  // of this term of leadership
-  std::vector<std::string> keys_;
-  bool collecting_ = false;  // a transaction is under way
+  transport::CallbackScope scope_;  // the current term of leadership
+  std::vector<std::string> keys_;   // to be deleted
+  bool transaction_in_flight_ = false;
 };
 
 }  // namespace larkroad::coordination
--- a/src/coordination/records/image_recorder.cpp
+++ b/src/coordination/records/image_recorder.cpp
@@ -11,7 +11,7 @@
   std::string name;
   double gb = 0;
 
-  // clang-tidy 14 takes the compared zero for a null pointer and for a boolean.
+  // clang-tidy 14 mistakes the zero in the comparison for a null pointer and a boolean.
   // NOLINTNEXTLINE(modernize-use-nullptr,readability-implicit-bool-conversion)
   auto operator<=>(const ImageUse&) const = default;
 };
@@ -30,13 +30,13 @@
 
 void ImageRecorder::begin_term() {
   scope_.restart();
-  recording_ = false;
+  transaction_in_flight_ = false;
 }
 
 void ImageRecorder::end_term() { scope_.restart(); }
 
 void ImageRecorder::record() {
-  if (recording_ || !leadership_.is_leader()) return;
+  if (transaction_in_flight_ || !leadership_.is_leader()) return;
   storage::Transaction transaction;
   transaction.preconditions.push_back({storage::kLeaderKey, leadership_.fencing_token()});
   std::vector<std::string> names;
@@ -49,9 +49,9 @@
         {storage::kMachinePrefix + name, storage::encode(images_to_record(machine)), std::nullopt});
   }
   if (names.empty()) return;
-  recording_ = true;
+  transaction_in_flight_ = true;
   const auto on_reply = [this, names](const storage::CommitReply& reply) {
-    recording_ = false;
+    transaction_in_flight_ = false;
     if (reply.status == storage::Status::ok) return;
     for (const auto& name : names) {
       if (Machine* machine = cluster_.find_machine(name)) machine->images_changed = true;
@@ -60,7 +60,7 @@
   store_.commit(transaction, scope_.wrap(on_reply), storage::RequestPriority::background);
 }
 
-// The oldest use first. When not all fit into a record, those are left out whose use is oldest.
+// Least recently used images first. When not all fit into a record, these are left out.
 storage::Images ImageRecorder::images_to_record(const Machine& machine) const {
   std::vector<ImageUse> by_use;
   for (const auto& [image, entry] : machine.images) {
--- a/src/coordination/records/image_recorder.hpp
+++ b/src/coordination/records/image_recorder.hpp
@@ -1,4 +1,4 @@
-/// Records which images the machines hold.
+/// Records which images are in the machines' caches.
 #pragma once
 
 #include <string>
@@ -13,21 +13,21 @@
 
 namespace larkroad::coordination {
 
-/// Writes the images of machines for the next leader, which places tasks where their image is. The
-/// record only saves time, so it is written in the background, some machines in one transaction,
-/// and one transaction at a time. The leader calls `record` from its scaling loop.
+/// Records the cached images for the next leader, which prefers machines that have a task's image.
+/// The records are only an optimization, so they are written in the background, several machines
+/// per transaction and one transaction at a time. The leader calls `record` from its scaling loop.
 class ImageRecorder {
  public:
   ImageRecorder(transport::Clock& clock, storage::KeyValueClient& store,
                 const Leadership& leadership, const Settings& settings,
                 const TransactionLimit& limit, ClusterState& cluster);
 
-  /// Forgets everything of an earlier term.
+  /// Discards the state of the previous term.
   void begin_term();
-  /// Answers that are under way have no effect any more.
+  /// Drops the callbacks of outstanding requests.
   void end_term();
 
-  /// Writes the images of machines whose images have changed since they were recorded.
+  /// Writes the records of machines whose images have changed since the last write.
   void record();
 
  private:
@@ -38,8 +38,8 @@
   const Settings& settings_;
   const TransactionLimit& limit_;
   ClusterState& cluster_;
-  transport::CallbackScope scope_;  // of this term of leadership
-  bool recording_ = false;          // a transaction is under way
+  transport::CallbackScope scope_;  // the current term of leadership
+  bool transaction_in_flight_ = false;
 };
 
 }  // namespace larkroad::coordination
--- a/src/coordination/records/placement_writer.cpp
+++ b/src/coordination/records/placement_writer.cpp
@@ -13,19 +13,17 @@
 using storage::Transaction;
 using Stage = Placement::Stage;
 
-// What has failed for a reason that passes is tried again after this part of the heartbeat
-// interval.
+// The delay before retrying after a transient failure, as a fraction of the heartbeat interval.
 constexpr double kRetryRatio = 1.0 / 10;
-// A record that is too large at present is looked at again after this part of the heartbeat
-// interval.
-constexpr double kTooLargeRatio = 1.0 / 4;
-// What the store refuses as too large, although it fits the limits that are known, is tried again
-// after this many heartbeat intervals.
-constexpr double kRefusedIntervals = 4;
-// What a change adds to a transaction beside its key and its record, in bytes; generous.
+// The delay before checking an oversized record again, as a fraction of the heartbeat interval.
+constexpr double kOversizedRetryRatio = 1.0 / 4;
+// The delay before retrying a write that the store rejected as too large although it is within the
+// known limits, in heartbeat intervals.
+constexpr double kRejectedRetryIntervals = 4;
+// An upper bound on the bytes that a change adds to a transaction besides its key and record.
 constexpr size_t kChangeOverheadBytes = 64;
-// No further record is added to a transaction that is larger than this, in bytes.
-constexpr size_t kTransactionBytes = transport::kBodyLimit / 2;
+// No further record is added to a transaction that exceeds this size, in bytes.
+constexpr size_t kTransactionByteThreshold = transport::kBodyLimit / 2;
 
 }  // namespace
 
@@ -64,11 +62,12 @@
   return reply.status == Status::conflict && reply.failed_on(storage::job_key(id));
 }
 
-void PlacementWriter::persist_after(Seconds delay, const std::string& id, bool ends_write) {
-  scope_.after(delay, [this, id, ends_write] {
+void PlacementWriter::persist_after(Seconds delay, const std::string& id,
+                                    bool clear_write_in_flight) {
+  scope_.after(delay, [this, id, clear_write_in_flight] {
     Job* job = cluster_.job(id);
     if (job == nullptr) return;
-    if (ends_write) job->write_in_flight = false;
+    if (clear_write_in_flight) job->write_in_flight = false;
     persist(*job);
   });
 }
@@ -76,9 +75,9 @@
 // --------------------------------------------------------------------------------- Placements
 
 void PlacementWriter::persist(Job& job) {
-  if (job.write_in_flight || !may_write()) return;
+  if (job.write_in_flight || !can_write()) return;
   if (job.is_finished() && job.cancelled_by_peer) {
-    // A peer's word is not enough to write on: its record is read first.
+    // A peer's announcement is not authoritative, so the job's record is read first.
     job.write_in_flight = true;
     callbacks_.refresh_job(job.id());
     return;
@@ -96,7 +95,7 @@
   store_.commit_until_certain(
       std::move(transaction), scope_.is_current(),
       scope_.wrap([this, id = job.id(), batch](const CommitReply& reply) {
-        write_answered(id, batch, reply);
+        handle_write_reply(id, batch, reply);
       }),
       low ? storage::RequestPriority::bulk : storage::RequestPriority::scheduling);
 }
@@ -107,14 +106,14 @@
   size_t bytes = 0;
   for (auto& [number, shard] : job.shards) {
     if (!shard.dirty || now < shard.write_at) continue;
-    if (!limit_.has_room(transaction) || bytes > kTransactionBytes) break;
+    if (!limit_.has_room(transaction) || bytes > kTransactionByteThreshold) break;
     const std::string key = storage::placement_key(job.id(), number);
     storage::Json record = storage::encode(ClusterState::placement_record(job, number));
     const size_t size = storage::encoded_size(record);
     if (static_cast<double>(size) > value_bytes) {
-      // Only of a job that was accepted under larger limits. What has ended stays on the workers
-      // until it is recorded, and the record becomes smaller with each end.
-      shard.write_at = now + settings_.heartbeat_interval_s * kTooLargeRatio;
+      // Happens only for a job that was accepted under larger limits. Workers keep ended tasks
+      // until these are recorded, and the record shrinks with each task that ends.
+      shard.write_at = now + settings_.heartbeat_interval_s * kOversizedRetryRatio;
       continue;
     }
     transaction.preconditions.push_back({key, shard.revision});
@@ -142,8 +141,8 @@
   }
 }
 
-void PlacementWriter::write_answered(const std::string& id, const Batch& batch,
-                                     const CommitReply& reply) {
+void PlacementWriter::handle_write_reply(const std::string& id, const Batch& batch,
+                                         const CommitReply& reply) {
   Job* job = cluster_.job(id);
   if (job == nullptr) return;
   job->write_in_flight = false;
@@ -155,24 +154,25 @@
 }
 
 void PlacementWriter::write_failed(Job& job, const Batch& batch, const CommitReply& reply) {
-  for (const auto number : batch.shards) job.shards[number].dirty = true;  // at once, as before
+  // `write_at` is kept, so these shards are written again without further delay.
+  for (const auto number : batch.shards) job.shards[number].dirty = true;
   if (is_job_conflict(job.id(), reply)) {
-    job.write_in_flight = true;  // until its record has been read again
+    job.write_in_flight = true;  // until the job's record has been read again
     callbacks_.refresh_job(job.id());
     return;
   }
   if (reply.status == Status::conflict && reply.failed_on(storage::kLeaderKey)) {
-    // Either this controller raised its own token meanwhile, or it no longer leads and will be
-    // told so.
+    // Either this controller raised its own token in the meantime, or it has lost leadership and
+    // will be notified.
     persist_after(settings_.heartbeat_interval_s * kRetryRatio, job.id(), false);
     return;
   }
   if (reply.status == Status::invalid) {
-    handle_size_refusal(job, batch.shards);
+    handle_size_rejection(job, batch.shards);
     return;
   }
   spdlog::error("placement write failed: job={}", job.id());
-  leadership_.resign("a record is not what this leader wrote");
+  leadership_.resign("a stored record differs from what this leader last wrote or read");
 }
 
 void PlacementWriter::write_succeeded(Job& job, const Batch& batch, std::uint64_t revision) {
@@ -180,12 +180,12 @@
   for (const auto task : batch.done) job.unpersisted_done.erase(task);
   std::vector<std::uint32_t> launches = mark_persisted(job, batch.placed);
   if (job.cancelled) {
-    // Recorded, but nothing was sent and nothing will be.
+    // The placements are recorded, but no launch has been sent and none will be.
     for (const auto task : launches) cluster_.unplace(job, task, clock_.now());
     launches.clear();
   }
   if (job.spec.is_gang()) {
-    // All launches go together, once every record of the gang is durable.
+    // The launches of a gang are sent together, once all of its records are durable.
     if (has_unpersisted_placements(job)) {
       persist(job);
       return;
@@ -197,8 +197,8 @@
   callbacks_.request_plan();
 }
 
-// The tasks among them whose placement is still the one that has become durable. A task of a gang
-// may have been placed on another machine meanwhile, with the same attempt.
+// Marks the placements that are still the ones that became durable, and returns their tasks. In the
+// meantime, a gang task may have been placed on another machine in the same attempt.
 std::vector<std::uint32_t> PlacementWriter::mark_persisted(
     Job& job, const std::vector<storage::PlacedTask>& placed) {
   std::vector<std::uint32_t> tasks;
@@ -221,8 +221,8 @@
                      [](const auto& entry) { return entry.second.stage == Stage::persisting; });
 }
 
-// What an earlier leader placed is not launched anew as it stands: its room may have gone to others
-// since, so it is queued again once the worker is known not to have it.
+// Placements of an earlier leader are not launched again, because their capacity may have been
+// reassigned. Such a task is requeued once its worker is known not to run it.
 std::vector<std::uint32_t> PlacementWriter::gang_launches(const Job& job) {
   std::vector<std::uint32_t> tasks;
   for (const auto& [task, placement] : job.placements) {
@@ -233,18 +233,19 @@
   return tasks;
 }
 
-// The store accepts less than its limits say. Its answer is certain: nothing was carried out. The
-// next transactions are smaller; a single record that is refused is tried again now and then, as
-// the others of its job must not wait for it.
-void PlacementWriter::handle_size_refusal(Job& job, const std::vector<std::uint32_t>& shards) {
+// Handles a store that accepts less than its configured limits. The rejection is definite: nothing
+// was applied. Later transactions are smaller. A single record that is rejected is retried at a low
+// rate, so that the other records of its job are not delayed.
+void PlacementWriter::handle_size_rejection(Job& job, const std::vector<std::uint32_t>& shards) {
   if (limit_.lower()) {
-    spdlog::error("transaction refused as too large: job={} max_changes={}", job.id(),
+    spdlog::error("transaction rejected by the store as too large: job={} max_changes={}", job.id(),
                   limit_.max_changes());
     return;
   }
-  spdlog::error("record refused as too large: job={}", job.id());
+  spdlog::error("record rejected by the store as too large: job={}", job.id());
   for (const auto number : shards) {
-    job.shards[number].write_at = clock_.now() + settings_.heartbeat_interval_s * kRefusedIntervals;
+    job.shards[number].write_at =
+        clock_.now() + settings_.heartbeat_interval_s * kRejectedRetryIntervals;
   }
 }
 
@@ -252,8 +253,8 @@
 
 void PlacementWriter::finish(Job& job) {
   Transaction transaction = new_transaction(job);
-  // A cancelled job stays cancelled, even if its last task was done before it could be stopped:
-  // its user has been told.
+  // A cancelled job is recorded as cancelled even if its last task completed before it could be
+  // stopped, because the user has already been told so.
   transaction.writes.push_back(
       {storage::finished_key(job.id()),
        storage::encode(storage::FinishedRecord{job.cancelled, job.spec.tasks}), std::nullopt});
@@ -272,13 +273,13 @@
   store_.commit_until_certain(
       std::move(transaction), scope_.is_current(),
       scope_.wrap([this, id = job.id(), remaining_keys](const CommitReply& reply) {
-        finish_answered(id, remaining_keys, reply);
+        handle_finish_reply(id, remaining_keys, reply);
       }));
 }
 
-void PlacementWriter::finish_answered(const std::string& id,
-                                      const std::vector<std::string>& remaining_keys,
-                                      const CommitReply& reply) {
+void PlacementWriter::handle_finish_reply(const std::string& id,
+                                          const std::vector<std::string>& remaining_keys,
+                                          const CommitReply& reply) {
   Job* job = cluster_.job(id);
   if (job == nullptr) return;
   if (reply.status == Status::ok) {
@@ -289,10 +290,10 @@
     callbacks_.refresh_job(id);
     return;
   }
-  const bool refused = reply.status == Status::invalid;
-  if (refused) handle_size_refusal(*job, {});
-  persist_after(settings_.heartbeat_interval_s * (refused ? kRefusedIntervals : kRetryRatio), id,
-                true);
+  const bool rejected = reply.status == Status::invalid;
+  if (rejected) handle_size_rejection(*job, {});
+  persist_after(settings_.heartbeat_interval_s * (rejected ? kRejectedRetryIntervals : kRetryRatio),
+                id, true);
 }
 
 void PlacementWriter::finish_succeeded(Job& job, const std::vector<std::string>& remaining_keys,
@@ -306,14 +307,14 @@
   callbacks_.request_plan();
 }
 
-// ---------------------------------------------------------------------------- Smaller shards
+// --------------------------------------------------------------------------- Shard shrinking
 
-// While nothing of the job is placed and none of its tasks is done, each placement record says the
-// same whatever range of tasks it is taken for, so that the job's own record is all that changes.
-// A controller of the first version reads it like any other.
+// While no task of the job is placed or done, its placement records are valid for any range of
+// tasks, so only the job's own record has to change. Controllers of the first version can read the
+// changed record.
 void PlacementWriter::shrink_shards(Job& job) {
   if (!cluster_.has_oversized_shards(job) || !job.placements.empty() || job.done_count > 0 ||
-      job.cancelled || !may_write()) {
+      job.cancelled || !can_write()) {
     return;
   }
   const StoreLimits limits = settings_.lasting_store_limits();
@@ -326,12 +327,12 @@
   store_.commit_until_certain(
       std::move(transaction), scope_.is_current(),
       scope_.wrap([this, id = job.id(), tasks_per_shard](const CommitReply& reply) {
-        shrink_answered(id, tasks_per_shard, reply);
+        handle_shrink_reply(id, tasks_per_shard, reply);
       }));
 }
 
-void PlacementWriter::shrink_answered(const std::string& id, std::uint32_t tasks_per_shard,
-                                      const CommitReply& reply) {
+void PlacementWriter::handle_shrink_reply(const std::string& id, std::uint32_t tasks_per_shard,
+                                          const CommitReply& reply) {
   Job* job = cluster_.job(id);
   if (job == nullptr) return;
   if (is_job_conflict(id, reply)) {
@@ -340,7 +341,7 @@
   }
   job->write_in_flight = false;
   if (reply.status == Status::ok) {
-    spdlog::info("placement shards made smaller: job={} tasks_per_shard={}", id, tasks_per_shard);
+    spdlog::info("placement shards shrunk: job={} tasks_per_shard={}", id, tasks_per_shard);
     job->tasks_per_shard = tasks_per_shard;
     job->revision = reply.revision;
   }
--- a/src/coordination/records/placement_writer.hpp
+++ b/src/coordination/records/placement_writer.hpp
@@ -1,4 +1,4 @@
-/// Writes the records of jobs: where their tasks are placed, and that a job has finished.
+/// Writes the placement records of jobs and the records of finished jobs.
 #pragma once
 
 #include <cstdint>
@@ -16,25 +16,25 @@
 
 namespace larkroad::coordination {
 
-/// Makes the placements of the cluster durable before anything is sent to a worker.
+/// Makes placements durable before their launches are sent to workers.
 ///
-/// Each transaction is guarded by the fencing token and by the revisions of the job's record and of
-/// the placement shards that it changes. A job has one transaction under way at a time
-/// (`Job::write_in_flight`); what changes meanwhile stays dirty and goes into the next one. Once
-/// placements are durable, the writer hands their tasks on to be launched: those of a gang only all
-/// together.
+/// Each transaction has preconditions on the fencing token, on the revision of the job's record and
+/// on the revisions of the placement shards that it changes. At most one transaction per job is in
+/// flight (`Job::write_in_flight`); shards that change in the meantime stay dirty and are part of
+/// the next one. Once placements are durable, the writer passes their tasks to `Callbacks::launch`;
+/// the tasks of a gang are passed all at once.
 class PlacementWriter {
  public:
-  /// What the writer tells the rest of the leader; all are called on the event loop's thread.
+  /// Notifications to the rest of the leader, called on the event loop's thread.
   struct Callbacks {
-    /// The job's record is not what this leader knows. It is to be read again, after which
-    /// `write_in_flight` ends and the job is persisted anew.
+    /// The job's record may differ from this leader's copy. The callee reads it again, then clears
+    /// `write_in_flight` and persists the job.
     std::function<void(const std::string& job)> refresh_job;
-    /// The job has finished durably, at this revision, and is about to leave the cluster.
+    /// The finished record is durable at this revision; the job is about to be removed.
     std::function<void(const std::string& job, std::uint64_t revision)> job_finished;
-    /// The placements of these tasks are durable.
+    /// The placements of these tasks are durable, and the tasks are to be launched.
     std::function<void(Job&, const std::vector<std::uint32_t>& tasks)> launch;
-    /// A scheduling cycle may now find work or room.
+    /// Requests a scheduling cycle, as tasks may be waiting or capacity may have been freed.
     std::function<void()> request_plan;
   };
 
@@ -42,23 +42,23 @@
                   const Settings& settings, TransactionLimit& limit, ClusterState& cluster,
                   GarbageCollector& garbage, Callbacks callbacks);
 
-  /// Forgets everything of an earlier term. Nothing is written before `start`.
+  /// Discards the state of the previous term. Nothing is written before `start`.
   void begin_term();
-  /// The state is recovered: records may be written from now on.
+  /// Enables writing, once the state has been recovered.
   void start() { started_ = true; }
-  /// Answers and timers that are under way have no effect any more.
+  /// Drops the callbacks of outstanding requests and timers.
   void end_term();
 
-  /// Writes what has changed of the job's records, or that the job has finished. May be called at
-  /// any time: it does nothing while a transaction of the job is under way.
+  /// Writes the job's changed placement records, or its finished record. May be called at any time:
+  /// it does nothing while a transaction of the job is in flight.
   void persist(Job& job);
 
-  /// Rewrites the record of a job that was accepted under larger limits of the store, so that fewer
-  /// tasks share a placement record. Only while none of its tasks is placed or done.
+  /// Reduces the tasks per placement record of a job that was accepted under larger limits of the
+  /// store. Does nothing once any of its tasks is placed or done.
   void shrink_shards(Job& job);
 
  private:
-  // What one transaction makes durable.
+  // The shards, placements and completions that one transaction makes durable.
   struct Batch {
     std::vector<std::uint32_t> shards;
     std::vector<storage::PlacedTask> placed;
@@ -66,12 +66,13 @@
   };
 
   storage::Transaction new_transaction(const Job& job) const;
-  bool may_write() const { return started_ && leadership_.is_leader(); }
+  bool can_write() const { return started_ && leadership_.is_leader(); }
   static bool is_job_conflict(const std::string& id, const storage::CommitReply& reply);
 
   void add_dirty_shards(Job& job, storage::Transaction& transaction, Batch& batch);
   static void add_shard_contents(const Job& job, std::uint32_t shard, Batch& batch);
-  void write_answered(const std::string& id, const Batch& batch, const storage::CommitReply& reply);
+  void handle_write_reply(const std::string& id, const Batch& batch,
+                          const storage::CommitReply& reply);
   void write_failed(Job& job, const Batch& batch, const storage::CommitReply& reply);
   void write_succeeded(Job& job, const Batch& batch, std::uint64_t revision);
   static std::vector<std::uint32_t> mark_persisted(Job& job,
@@ -80,15 +81,15 @@
   static std::vector<std::uint32_t> gang_launches(const Job& job);
 
   void finish(Job& job);
-  void finish_answered(const std::string& id, const std::vector<std::string>& remaining_keys,
-                       const storage::CommitReply& reply);
+  void handle_finish_reply(const std::string& id, const std::vector<std::string>& remaining_keys,
+                           const storage::CommitReply& reply);
   void finish_succeeded(Job& job, const std::vector<std::string>& remaining_keys,
                         std::uint64_t revision);
 
-  void shrink_answered(const std::string& id, std::uint32_t tasks_per_shard,
-                       const storage::CommitReply& reply);
-  void handle_size_refusal(Job& job, const std::vector<std::uint32_t>& shards);
-  void persist_after(Seconds delay, const std::string& id, bool ends_write);
+  void handle_shrink_reply(const std::string& id, std::uint32_t tasks_per_shard,
+                           const storage::CommitReply& reply);
+  void handle_size_rejection(Job& job, const std::vector<std::uint32_t>& shards);
+  void persist_after(Seconds delay, const std::string& id, bool clear_write_in_flight);
 
   transport::Clock& clock_;
   storage::KeyValueClient& store_;
@@ -98,7 +99,7 @@
   ClusterState& cluster_;
   GarbageCollector& garbage_;
   Callbacks callbacks_;
-  transport::CallbackScope scope_;  // of this term of leadership
+  transport::CallbackScope scope_;  // the current term of leadership
   bool started_ = false;
 };
 
--- a/src/coordination/records/transaction_limit.hpp
+++ b/src/coordination/records/transaction_limit.hpp
@@ -1,4 +1,4 @@
-/// How many changes the key-value store accepts in one transaction, as far as is known.
+/// The known limit on the number of changes in one transaction of the key-value store.
 #pragma once
 
 #include <algorithm>
@@ -7,21 +7,21 @@
 
 namespace larkroad::coordination {
 
-/// Begins with the limit of the settings, and is lowered when the store refuses a transaction that
-/// keeps to it. It is not raised again, not even in a later term of leadership. Shared by all that
-/// write records for the leader.
+/// Starts at the configured limit and is lowered when the store rejects a transaction within it. It
+/// is never raised again, not even in a later term of leadership. Shared by all components of the
+/// leader that write records.
 class TransactionLimit {
  public:
   explicit TransactionLimit(int max_changes) : max_changes_(max_changes) {}
 
   int max_changes() const { return max_changes_; }
 
-  /// Whether one more write or delete may be added.
+  /// Whether one more write or delete may be added to the transaction.
   bool has_room(const storage::Transaction& transaction) const {
     return static_cast<int>(transaction.changes()) < max_changes_;
   }
 
-  /// Halves the limit. False when a transaction has one change already.
+  /// Halves the limit. Returns false when it is already one change.
   bool lower() {
     if (max_changes_ <= 1) return false;
     max_changes_ = std::max(1, max_changes_ / 2);
