--- a/src/storage/certain_commit.cpp
+++ b/src/storage/certain_commit.cpp
@@ -32,7 +32,7 @@
 void CertainCommit::handle_reply(CommitReply reply) {
   switch (reply.status) {
     case Status::unknown:
-      answer_lost_ = true;
+      reply_lost_ = true;
       retry();
       return;
     case Status::unavailable:
@@ -47,17 +47,17 @@
 }
 
 void CertainCommit::handle_conflict(CommitReply reply) {
-  if (may_be_own_effect(reply)) {
+  if (may_be_own_write(reply)) {
     read_back(std::move(reply));
   } else {
     callbacks_.done(std::move(reply));
   }
 }
 
-bool CertainCommit::may_be_own_effect(const CommitReply& conflict) const {
-  if (!answer_lost_ || transaction_.writes.empty()) return false;
-  // Had an earlier copy been carried out, the key of its first write would have changed. One that
-  // is unchanged may hold the same data all the same, from an earlier write.
+bool CertainCommit::may_be_own_write(const CommitReply& conflict) const {
+  if (!reply_lost_ || transaction_.writes.empty()) return false;
+  // An earlier copy that was applied has changed the key of its first write. Comparing the data is
+  // not enough: an unchanged key may hold the same data from an earlier write.
   const std::string& first_key = transaction_.writes.front().key;
   const bool unchanged =
       transaction_.has_precondition_on(first_key) && !conflict.failed_on(first_key);
@@ -81,7 +81,7 @@
 }
 
 void CertainCommit::retry() {
-  if (!callbacks_.still_wanted()) {
+  if (!callbacks_.should_retry()) {
     callbacks_.done({Status::unknown, 0, {}});
     return;
   }
--- a/src/storage/certain_commit.hpp
+++ b/src/storage/certain_commit.hpp
@@ -1,4 +1,4 @@
-/// A transaction that is sent until its outcome is certain.
+/// A transaction that is retried until its outcome is known.
 #pragma once
 
 #include <functional>
@@ -11,32 +11,34 @@
 
 class KeyValueClient;
 
-/// Retries one transaction whose outcome may get lost on the way.
+/// Retries one transaction whose reply may be lost.
 ///
-/// A transaction whose answer is lost may have been carried out, or may yet be. It is sent again as
-/// it was. When a precondition then fails, the first copy may be what changed the key: the first
-/// write is read back, and the transaction was carried out when its data stands there.
+/// When the reply is lost, the transaction may have been applied, or may still be. The same
+/// transaction is sent again. If a precondition then fails, an earlier copy may have changed the
+/// key: the key of the first write is read back, and the transaction counts as applied when the key
+/// holds the data of that write.
 ///
-/// Keeps itself alive until `done` is called, once. Used by KeyValueClient::commit_until_certain.
+/// Keeps itself alive until it has called `done`, which it does exactly once. Used by
+/// KeyValueClient::commit_until_certain.
 class CertainCommit : public std::enable_shared_from_this<CertainCommit> {
  public:
   struct Callbacks {
-    std::function<bool()> still_wanted;  ///< asked before each retry
+    std::function<bool()> should_retry;  ///< called before each retry; false: give up
     std::function<void(CommitReply)> done;
   };
 
-  /// `scope` ends together with the client: retries that are scheduled then are dropped.
+  /// `scope` ends with the client, which drops scheduled retries.
   CertainCommit(KeyValueClient& client, transport::CallbackScope& scope, Transaction transaction,
                 Callbacks callbacks, RequestPriority priority);
 
-  /// Sends the transaction. The object must be owned by a shared pointer.
+  /// Sends the transaction. This object must be owned by a shared pointer.
   void send();
 
  private:
   void handle_reply(CommitReply reply);
   void handle_conflict(CommitReply reply);
-  /// Whether a conflict may be due to an earlier copy of this very transaction.
-  bool may_be_own_effect(const CommitReply& conflict) const;
+  /// Whether the conflict may be caused by an earlier copy of this transaction.
+  bool may_be_own_write(const CommitReply& conflict) const;
   void read_back(CommitReply conflict);
   void retry();
 
@@ -45,7 +47,7 @@
   Transaction transaction_;
   Callbacks callbacks_;
   RequestPriority priority_;
-  bool answer_lost_ = false;
+  bool reply_lost_ = false;
   int retries_ = 0;
 };
 
--- a/src/storage/finished_record.cpp
+++ b/src/storage/finished_record.cpp
@@ -5,7 +5,7 @@
 namespace larkroad::storage {
 namespace {
 
-constexpr const char* kRecord = "finished job";
+constexpr const char* kRecordKind = "finished job";
 constexpr const char* kCancelled = "cancelled";
 constexpr const char* kTasks = "tasks";
 
@@ -16,7 +16,7 @@
 }
 
 FinishedRecord decode_finished(const Json& data) {
-  const RecordReader reader(kRecord, data);
+  const RecordReader reader(kRecordKind, data);
   return {reader.boolean(kCancelled), static_cast<std::uint32_t>(reader.integer(kTasks))};
 }
 
--- a/src/storage/finished_record.hpp
+++ b/src/storage/finished_record.hpp
@@ -1,5 +1,5 @@
-/// The record of a job that is over, stored under `d/ID` for good: users may ask about a job, and
-/// submit it again, at any later time.
+/// The record of a finished job, stored under `d/ID`. It is never deleted, because users may query
+/// the job or submit it again at any later time.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 struct FinishedRecord {
   bool cancelled = false;
-  std::uint32_t tasks = 0;  ///< how many tasks the job had
+  std::uint32_t tasks = 0;  ///< the number of tasks of the job
 };
 
 Json encode(const FinishedRecord& record);
--- a/src/storage/image_record.cpp
+++ b/src/storage/image_record.cpp
@@ -5,7 +5,7 @@
 namespace larkroad::storage {
 namespace {
 
-constexpr const char* kRecord = "machine images";
+constexpr const char* kRecordKind = "machine images";
 constexpr const char* kImages = "images";
 
 Json encode_image(const CachedImage& image) { return Json::array({image.name, image.size_gb}); }
@@ -30,7 +30,7 @@
 }
 
 Images decode_images(const Json& data) {
-  return RecordReader(kRecord, data).decode(kImages, decode_list);
+  return RecordReader(kRecordKind, data).decode(kImages, decode_list);
 }
 
 }  // namespace larkroad::storage
--- a/src/storage/image_record.hpp
+++ b/src/storage/image_record.hpp
@@ -1,5 +1,5 @@
-/// The record of the images on a machine, stored under `m/MACHINE`. It only saves fetches after a
-/// failover: a record that is lost or out of date breaks nothing.
+/// The record of the images in a machine's cache, stored under `m/MACHINE`. It only saves image
+/// fetches after a failover, so a lost or outdated record does no harm.
 #pragma once
 
 #include <string>
--- a/src/storage/job_cache.cpp
+++ b/src/storage/job_cache.cpp
@@ -9,7 +9,7 @@
 namespace larkroad::storage {
 namespace {
 
-// Queries that come within this part of a heartbeat interval share one request.
+// Queries that arrive within 1/200 of a heartbeat interval share one request.
 constexpr double kBatchesPerHeartbeat = 200;
 
 }  // namespace
@@ -35,7 +35,8 @@
 }
 
 void JobCache::update() {
-  // The request is sent after all of these were made, so its answer is no older than any of them.
+  // The request is sent after these refreshes were requested, so its reply is recent enough for all
+  // of them.
   update_callbacks_ = std::move(next_callbacks_);
   next_callbacks_.clear();
   if (revision_) {
@@ -86,8 +87,8 @@
     finish_update(reply.status);
     return;
   }
-  // The revision of the first page: what changes while the others are read comes with the next
-  // update. A store at revision 0 is empty, and is listed again.
+  // Keeps the revision of the first page, so that the next update covers changes made while later
+  // pages are read. A store at revision 0 is empty and is listed again.
   if (!revision_ && reply.revision > 0) revision_ = reply.revision;
   for (const Entry& entry : reply.entries) store_job(entry.key, entry.data);
   if (reply.more && !reply.entries.empty()) {
@@ -106,7 +107,7 @@
   update_callbacks_.clear();
   updating_ = false;
   for (const auto& done : callbacks) done(status);
-  // Refreshes that came during the update need a later one.
+  // Refreshes requested during this update need another one.
   if (!next_callbacks_.empty() && !updating_) schedule_update();
 }
 
--- a/src/storage/job_cache.hpp
+++ b/src/storage/job_cache.hpp
@@ -1,4 +1,4 @@
-/// A copy of the records of jobs that are not over, for users' queries.
+/// A cache of the records of unfinished jobs, for users' queries.
 #pragma once
 
 #include <cstdint>
@@ -13,23 +13,23 @@
 
 namespace larkroad::storage {
 
-/// Keeps the copy up to date on demand, by reading what has changed since the last time.
+/// Updates the cache on demand by reading the changes since the last update.
 ///
-/// A query must not be answered from a copy that is older than the query itself: another
-/// controller may have given the user a newer answer before. Many queries share one request to the
-/// store, however many jobs they are about. Used by JobLookup.
+/// A query must not be answered from data older than the query itself, because another controller
+/// may already have given the user a newer answer. Concurrent queries share one request to the
+/// store, regardless of the number of jobs. Used by JobLookup.
 class JobCache {
  public:
   JobCache(transport::Clock& clock, KeyValueClient& store, const Settings& settings);
 
-  /// Brings the cache up to date. Calls `done` with `ok` when it holds all that was recorded at the
-  /// time of this call, and with another status when that cannot be read.
+  /// Updates the cache. Calls `done` with `ok` once it includes everything recorded at the time of
+  /// this call, and with another status if the records cannot be read.
   void refresh(std::function<void(Status)> done);
 
   struct CachedJob {
     bool cancelled = false;
   };
-  /// Returns nullptr when the job is not among those that are not over.
+  /// Returns nullptr when there is no unfinished job with this id.
   const CachedJob* find(const std::string& id) const;
 
  private:
@@ -48,11 +48,11 @@
   KeyValueClient& store_;
   Seconds batch_delay_;
   std::unordered_map<std::string, CachedJob> jobs_;  // by key
-  // Of the store, up to which changes have been read; none: all must be read again.
+  // The store's revision up to which changes have been read; empty: everything must be read again.
   std::optional<std::uint64_t> revision_;
-  bool updating_ = false;       // an update is scheduled or under way
+  bool updating_ = false;       // an update is scheduled or in progress
   Callbacks next_callbacks_;    // for the next update
-  Callbacks update_callbacks_;  // for the one under way
+  Callbacks update_callbacks_;  // for the update in progress
   transport::CallbackScope scope_;
 };
 
--- a/src/storage/job_record.cpp
+++ b/src/storage/job_record.cpp
@@ -10,17 +10,18 @@
 namespace larkroad::storage {
 namespace {
 
-constexpr const char* kRecord = "job";
+constexpr const char* kRecordKind = "job";
 constexpr const char* kSubmittedAt = "at";
 constexpr const char* kTasksPerShard = "chunk";
 constexpr const char* kCancelled = "cancelled";
 
-// The fields of the specification stand beside the record's own; its errors name them.
+// The fields of the specification are stored next to the record's own fields, and the text of a
+// decoding error names the field.
 protocol::JobSpec decode_stored_spec(const std::string& id, const Json& data) {
   try {
     return protocol::decode_spec(id, data);
   } catch (const std::exception& error) {
-    throw RecordError(kRecord, "specification", error.what());
+    throw RecordError(kRecordKind, "specification", error.what());
   }
 }
 
@@ -35,7 +36,7 @@
 }
 
 JobRecord decode_job(const std::string& id, const Json& data) {
-  const RecordReader reader(kRecord, data);
+  const RecordReader reader(kRecordKind, data);
   JobRecord record;
   record.spec = decode_stored_spec(id, data);
   record.submitted_at = reader.amount(kSubmittedAt);
--- a/src/storage/key_value_client.cpp
+++ b/src/storage/key_value_client.cpp
@@ -16,15 +16,15 @@
 using transport::Response;
 namespace http_status = transport::http_status;
 
-// Requests time out well above the few hundred milliseconds that a slow answer takes, and well
-// below the lease, so that several fit into it.
+// The request timeout as a fraction of the leader lease, with bounds. It is well above the few
+// hundred milliseconds that a slow reply takes, and allows several attempts within one lease.
 constexpr double kTimeoutRatio = 1.0 / 16;
 constexpr Seconds kMinTimeout = 0.5;
 constexpr Seconds kMaxTimeout = 2.0;
-// Pages of lists are large.
+// Pages of lists are large and take longer.
 constexpr double kListTimeoutFactor = 4;
 
-// Decodes the body of an answer; none, with a log line, when it is malformed.
+// Decodes the body of a reply. Logs an error and returns nullopt when it is malformed.
 template <typename Decode>
 std::optional<std::invoke_result_t<Decode, const std::string&>> try_decode(const char* request,
                                                                            const std::string& body,
@@ -32,12 +32,12 @@
   try {
     return decode(body);
   } catch (const std::exception& error) {
-    spdlog::error("store answer malformed: request={} error={}", request, error.what());
+    spdlog::error("malformed reply from the store: request={} error={}", request, error.what());
     return std::nullopt;
   }
 }
 
-// Decodes an answer that carries its status: Reply is ListReply or WatchReply.
+// Decodes a reply that contains its status: Reply is ListReply or WatchReply.
 template <typename Reply>
 Reply read_reply(const char* request, Status status, const Response& response,
                  Reply (*decode)(const std::string&)) {
@@ -49,11 +49,11 @@
   return reply;
 }
 
-// Passes an answer to `done` as a status and a value, which is of use with `ok` alone.
+// Passes a reply to `done` as a status and a value, which is only meaningful with `ok`.
 template <typename Value>
-void pass_value(const char* request, Status status, const Response& response,
-                Value (*decode)(const std::string&),
-                const std::function<void(Status, Value)>& done) {
+void deliver_value(const char* request, Status status, const Response& response,
+                   Value (*decode)(const std::string&),
+                   const std::function<void(Status, Value)>& done) {
   if (status != Status::ok) {
     done(status, {});
     return;
@@ -88,14 +88,15 @@
   client_.call(
       endpoint_, std::move(request.request), request.timeout,
       scope_.wrap([this, done = std::move(request.done)](Outcome outcome, Response response) {
-        record_answer(outcome, response.status);
+        record_outcome(outcome, response.status);
         const Status status = status_of(outcome, response.status);
         done(status, std::move(response));
       }));
 }
 
-void KeyValueClient::record_answer(Outcome outcome, int status) {
-  // 429 shows that the store is there too, but a 503 may be for this controller alone.
+void KeyValueClient::record_outcome(Outcome outcome, int status) {
+  // A 429 also shows that the store is available. A 503 may affect only this controller, and counts
+  // as a failure.
   if (outcome == Outcome::answered && status != http_status::kServiceUnavailable) {
     availability_.record_success();
   } else {
@@ -115,7 +116,7 @@
                          RequestPriority priority) {
   submit(encode_get(key), timeout_, priority,
          [done = std::move(done)](Status status, const Response& response) {
-           pass_value("get", status, response, decode_entry, done);
+           deliver_value("get", status, response, decode_entry, done);
          });
 }
 
@@ -142,26 +143,26 @@
   if (!reply) return {};
   if (reply->status == Status::invalid) {
     spdlog::error("transaction rejected by the store: answer={}", body);
-    // It may be too large for limits that have fallen.
+    // The transaction may exceed limits that the store has lowered.
     lower_limits();
   }
   return *std::move(reply);
 }
 
 void KeyValueClient::commit_until_certain(Transaction transaction,
-                                          std::function<bool()> still_wanted,
+                                          std::function<bool()> should_retry,
                                           std::function<void(CommitReply)> done,
                                           RequestPriority priority) {
-  CertainCommit::Callbacks callbacks{std::move(still_wanted), std::move(done)};
+  CertainCommit::Callbacks callbacks{std::move(should_retry), std::move(done)};
   std::make_shared<CertainCommit>(*this, scope_, std::move(transaction), std::move(callbacks),
                                   priority)
       ->send();
 }
 
-void KeyValueClient::grant(Seconds life, std::function<void(Status, std::uint64_t)> done) {
-  submit(encode_grant(life), timeout_, RequestPriority::lease,
+void KeyValueClient::grant(Seconds ttl, std::function<void(Status, std::uint64_t)> done) {
+  submit(encode_grant(ttl), timeout_, RequestPriority::lease,
          [done = std::move(done)](Status status, const Response& response) {
-           pass_value("grant", status, response, decode_grant, done);
+           deliver_value("grant", status, response, decode_grant, done);
          });
 }
 
--- a/src/storage/key_value_client.hpp
+++ b/src/storage/key_value_client.hpp
@@ -1,4 +1,4 @@
-/// Client of the consensus-backed key-value store, the only place where controllers keep state.
+/// Client of the consensus-backed key-value store, the only persistent state of the controllers.
 #pragma once
 
 #include <functional>
@@ -17,22 +17,22 @@
 
 /// Reads, compare-and-swap transactions, leases and watches.
 ///
-/// Keeps this controller's share of the store's limits, and distinguishes requests that were
-/// refused (`unavailable`) from those that may take effect, now or later (`unknown`). Each
-/// controller has one client, which all of its parts share. Callbacks run on the event loop; they
-/// are dropped when the client is destroyed. Not thread-safe.
+/// Limits its requests to this controller's share of the store's rate limits, and distinguishes
+/// requests that were not carried out (`unavailable`) from those that may have taken effect or may
+/// still do so (`unknown`). Each controller has one client, shared by all of its components.
+/// Callbacks run on the event loop and are dropped when the client is destroyed. Not thread-safe.
 class KeyValueClient {
  public:
   KeyValueClient(transport::Clock& clock, transport::Client& client, const Settings& settings);
 
-  /// The parts of the store's limits that this controller may use, between 0 and 1.
+  /// Sets the fractions of the store's limits that this controller may use, between 0 and 1.
   void set_share(double requests, double writes) { limiter_.set_share(requests, writes); }
 
   /// Reads one key; `missing` when it does not exist.
   void get(const std::string& key, std::function<void(Status, Entry)> done,
            RequestPriority priority = RequestPriority::scheduling);
 
-  /// Reads one page of the keys with a prefix, beginning after the key `after` (empty: the first).
+  /// Reads one page of the keys with a prefix, starting after the key `after` (empty: first page).
   void list(const std::string& prefix, const std::string& after,
             std::function<void(ListReply)> done,
             RequestPriority priority = RequestPriority::scheduling);
@@ -41,30 +41,31 @@
   void commit(const Transaction& transaction, std::function<void(CommitReply)> done,
               RequestPriority priority = RequestPriority::scheduling);
 
-  /// Sends a transaction until its outcome is certain, see CertainCommit. Gives up, with `unknown`,
-  /// when `still_wanted` says no more.
-  void commit_until_certain(Transaction transaction, std::function<bool()> still_wanted,
+  /// Retries a transaction until its outcome is known, see CertainCommit. Gives up with `unknown`
+  /// when `should_retry` returns false.
+  void commit_until_certain(Transaction transaction, std::function<bool()> should_retry,
                             std::function<void(CommitReply)> done,
                             RequestPriority priority = RequestPriority::scheduling);
 
-  /// Creates a lease that ends `life` seconds after its last renewal. The number passed to `done`
-  /// is the lease, if the status is `ok`.
-  void grant(Seconds life, std::function<void(Status, std::uint64_t)> done);
-  /// Renews a lease; `missing` when it has ended.
+  /// Creates a lease that expires `ttl` seconds after its last renewal. With the status `ok`, the
+  /// number passed to `done` is the id of the lease.
+  void grant(Seconds ttl, std::function<void(Status, std::uint64_t)> done);
+  /// Renews a lease; `missing` when it has expired.
   void extend(std::uint64_t lease, std::function<void(Status)> done);
-  /// Ends a lease, if the request gets through.
+  /// Revokes a lease; best effort, without a retry.
   void release(std::uint64_t lease);
 
-  /// Waits for changes after the revision `since` of keys with a prefix, for `block` seconds at
-  /// most; `too_old` when the store no longer keeps all of them.
+  /// Waits up to `block` seconds for changes after the revision `since` of keys with a prefix;
+  /// `too_old` when the store no longer keeps all of these changes.
   void watch(const std::string& prefix, std::uint64_t since, Seconds block,
              std::function<void(WatchReply)> done,
              RequestPriority priority = RequestPriority::lease);
 
-  /// How long requests have failed without a break; 0 when the latest one was answered.
+  /// How long all requests have been failing; 0 when the latest one succeeded.
   Seconds failing_for() const { return availability_.failing_for(); }
-  /// False while requests have failed for longer than one may take, but for a probe now and then:
-  /// a caller with a user waiting then answers at once that the store is unavailable.
+  /// Whether a request should be attempted. False while requests have been failing for longer than
+  /// one timeout, except for an occasional probe. Callers that serve a user then report at once
+  /// that the store is unavailable.
   bool worth_trying() { return availability_.worth_trying(); }
   bool answered_ever() const { return availability_.answered_ever(); }
   Seconds call_timeout() const { return timeout_; }
@@ -73,14 +74,14 @@
   void submit(transport::Request request, Seconds timeout, RequestPriority priority,
               std::function<void(Status, transport::Response)> done);
   void send(StoreRequest request);
-  void record_answer(transport::Outcome outcome, int http_status);
+  void record_outcome(transport::Outcome outcome, int http_status);
   CommitReply read_commit_reply(Status status, const std::string& body);
   void lower_limits();
 
   transport::Client& client_;
   transport::Clock& clock_;
   std::string endpoint_;
-  Seconds timeout_;  // of requests that do not block; lists take longer
+  Seconds timeout_;  // of requests that do not block; lists have a longer one
   StoreAvailability availability_;
   RateLimiter limiter_;
   RequestQueue queue_;
--- a/src/storage/placement_record.cpp
+++ b/src/storage/placement_record.cpp
@@ -7,12 +7,12 @@
 namespace larkroad::storage {
 namespace {
 
-constexpr const char* kRecord = "placement";
+constexpr const char* kRecordKind = "placement";
 constexpr const char* kAttempt = "attempt";
 constexpr const char* kDone = "done";
 constexpr const char* kPlaced = "placed";
 
-// A placed task in the worst case: [99999,18446744073709551615,"i-0000000000000",1844674407],
+// The largest encoding of a placed task: [99999,18446744073709551615,"i-0000000000000",1844674407],
 constexpr double kBytesPerTask = 64;
 constexpr double kMaxTasksPerShard = 1024;
 
@@ -45,7 +45,7 @@
 }
 
 PlacementRecord decode_placement_record(const Json& data) {
-  const RecordReader reader(kRecord, data);
+  const RecordReader reader(kRecordKind, data);
   PlacementRecord record;
   record.attempt = reader.integer(kAttempt);
   reader.for_each(kDone, [&](const Json& item) { record.done.push_back(decode_range(item)); });
--- a/src/storage/placement_record.hpp
+++ b/src/storage/placement_record.hpp
@@ -1,6 +1,6 @@
-/// The record of one shard of a job's tasks, stored under `p/ID/SHARD`: where they are placed,
-/// which are done. A task may be launched only once its placement is recorded, so that a new leader
-/// knows of every task that may be running.
+/// The placements and completions of one shard of a job's tasks, stored under `p/ID/SHARD`. A task
+/// is launched only after its placement is recorded, so that a new leader knows every task that may
+/// be running.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 using protocol::Json;
 
-/// A range of tasks, both ends included.
+/// A closed range of tasks.
 struct TaskRange {
   std::uint32_t first = 0;
   std::uint32_t last = 0;
@@ -27,7 +27,7 @@
 };
 
 struct PlacementRecord {
-  std::uint64_t attempt = 0;  ///< the highest ever used in this shard
+  std::uint64_t attempt = 0;  ///< the highest attempt ever used in this shard
   std::vector<TaskRange> done;
   std::vector<PlacedTask> placed;
 };
@@ -37,7 +37,7 @@
 /// Throws RecordError.
 PlacementRecord decode_placement_record(const Json& data);
 
-/// How many tasks may share a record, so that its largest form fits a value of `value_kb` KiB.
+/// The maximum number of tasks per record such that the largest record fits into `value_kb` KiB.
 std::uint32_t max_tasks_per_shard(double value_kb);
 
 }  // namespace larkroad::storage
--- a/src/storage/rate_limiter.hpp
+++ b/src/storage/rate_limiter.hpp
@@ -10,49 +10,50 @@
 
 using transport::Seconds;
 
-/// Two token buckets, of requests and of writes, each of one second's size.
+/// Two token buckets, for requests and for writes, each with a capacity of one second.
 ///
-/// The store's limits may fall to announced values at a moment that is not announced. A refusal
-/// shows that they may have fallen, and the limiter then keeps to the lower ones for a while. Other
-/// things bring refusals too, such as two leaders in turn, so it returns to the present limits,
-/// after twice as long each time.
+/// The store's limits may drop to announced values at an unannounced time. A rejected request
+/// indicates that they may have dropped, and the limiter then applies the lower limits for a while.
+/// Requests are also rejected for other reasons, such as a change of leaders, so it later returns
+/// to the current limits. The period of the lower limits doubles each time.
 ///
 /// Not thread-safe; used by RequestQueue.
 class RateLimiter {
  public:
   RateLimiter(const Settings& settings, Seconds now);
 
-  /// The parts of the store's limits that this controller may use, between 0 and 1.
+  /// Sets the fractions of the store's limits that this controller may use, between 0 and 1.
   void set_share(double requests, double writes);
 
-  /// Adds the tokens of the time since the last refill, and ends a lowering that is over.
+  /// Adds the tokens accrued since the last refill, and restores the current limits when the period
+  /// of lower limits has ended.
   void refill(Seconds now);
 
   bool has_request() const { return request_tokens_ >= 1; }
-  /// The write tokens that must be there before a transaction of so many writes may go. One that is
-  /// larger than the whole bucket goes once the bucket is full, as it would never go otherwise.
+  /// The write tokens required before a transaction with this many writes may be sent. At most the
+  /// capacity of the bucket, because a larger transaction could otherwise never be sent.
   double writes_needed(double writes) const;
   bool has_writes(double needed) const { return write_tokens_ >= needed; }
-  /// Takes the tokens of one request, whether or not they are there: what a lease renewal takes
-  /// ahead of time is missing to the others.
+  /// Takes the tokens of one request. The balance may become negative: a lease renewal overdraws
+  /// the bucket at the expense of later requests.
   void take(double writes);
 
-  /// Keeps to the lower limits from now on. Returns for how long; none when nothing changes.
+  /// Applies the lower limits from now on. Returns for how long; nullopt when nothing changes.
   std::optional<Seconds> lower_limits(Seconds now);
-  /// The limit on all controllers' writes in a second that is in use.
-  double write_limit() const { return limits_.write_rps; }
+  /// The limit in force on the writes per second of all controllers together.
+  double write_limit() const { return active_limits_.write_rps; }
 
-  /// How many requests this controller may send in a second.
-  double requests_per_second() const { return limits_.rps * request_share_; }
+  /// The number of requests per second that this controller may send.
+  double requests_per_second() const { return active_limits_.rps * request_share_; }
 
  private:
-  double writes_per_second() const { return limits_.write_rps * write_share_; }
+  double writes_per_second() const { return active_limits_.write_rps * write_share_; }
 
-  StoreLimits present_limits_;
-  StoreLimits lasting_limits_;  // the smaller of the present and the next limits
-  StoreLimits limits_;          // in use
+  StoreLimits current_limits_;
+  StoreLimits lasting_limits_;  // the smaller of the current and the next limits
+  StoreLimits active_limits_;   // in force
   std::optional<Seconds> lowered_until_;
-  Seconds next_lowering_;  // how long the next lowering lasts
+  Seconds next_lowering_duration_;  // the duration of the next period of lower limits
   double request_share_ = 1;
   double write_share_ = 1;
   double request_tokens_ = 0;
--- a/src/storage/record_error.hpp
+++ b/src/storage/record_error.hpp
@@ -1,7 +1,7 @@
-/// Errors of stored records that cannot be decoded, and the reader that reports them.
+/// The error for a stored record that cannot be decoded, and the reader that throws it.
 ///
-/// A record that cannot be decoded is never guessed at: its reader logs the error and skips the
-/// record, or, where acting without the record could run a task twice, gives up its leadership.
+/// No defaults are substituted for a record that cannot be decoded. The caller logs the error and
+/// skips the record or, where acting without the record could run a task twice, resigns leadership.
 #pragma once
 
 #include <cstdint>
@@ -25,7 +25,7 @@
 
   /// The kind of record, such as "placement".
   const std::string& record() const { return record_; }
-  /// The stored name of the field at fault.
+  /// The stored name of the invalid field.
   const std::string& field() const { return field_; }
 
  private:
@@ -33,12 +33,12 @@
   std::string field_;
 };
 
-/// Reads the fields of one stored record; every error is thrown as a RecordError.
+/// Reads the fields of one stored record. Every error is thrown as a RecordError.
 ///
-/// Refers to the data, which must outlive it.
+/// Keeps a reference to the data, which must outlive the reader.
 class RecordReader {
  public:
-  /// `record`: the kind of record, for errors; a string literal.
+  /// `record`: the kind of record, for error messages; must be a string literal.
   RecordReader(const char* record, const Json& data) : record_(record), data_(data) {}
   RecordReader(const char* record, Json&& data) = delete;
 
@@ -48,16 +48,16 @@
   bool boolean(const char* field) const {
     return read(field, [&] { return protocol::boolean(data_, field); });
   }
-  /// False when the field is absent, as fields that are rarely true are left out.
+  /// False when the field is absent: rarely set flags are only stored when true.
   bool boolean_or_false(const char* field) const {
     return protocol::find(data_, field) != nullptr && boolean(field);
   }
-  /// A number that is finite and not negative.
+  /// Reads a finite, non-negative number.
   double amount(const char* field) const {
     return read(field, [&] { return protocol::amount(data_, field); });
   }
 
-  /// Calls `decode_item` with each item of a list; an absent list has none.
+  /// Calls `decode_item` with each item of a list. An absent list is treated as empty.
   template <typename DecodeItem>
   void for_each(const char* field, DecodeItem decode_item) const {
     const Json* items = protocol::find(data_, field);
@@ -67,14 +67,14 @@
     }
   }
 
-  /// Returns what `decode` makes of the value of a field that must be present.
+  /// Returns the result of `decode_value` for the value of a required field.
   template <typename Decode>
   std::invoke_result_t<Decode, const Json&> decode(const char* field, Decode decode_value) const {
     return read(field, [&] { return decode_value(protocol::need(data_, field)); });
   }
 
  private:
-  /// Runs `function`, and names the field in whatever it throws.
+  /// Runs `function` and converts any exception into a RecordError that names the field.
   template <typename Function>
   std::invoke_result_t<Function> read(const char* field, Function function) const {
     try {
--- a/src/storage/record_keys.cpp
+++ b/src/storage/record_keys.cpp
@@ -9,7 +9,7 @@
 
 constexpr const char* kFinishedPrefix = "d/";
 constexpr const char* kRelayAnswerPrefix = "a/";
-// Far more than any job has shards, and few enough that the number cannot overflow.
+// Enough digits for the shards of any job, and few enough that the number cannot overflow.
 constexpr size_t kMaxShardDigits = 7;
 
 std::optional<std::uint32_t> parse_shard(std::string_view digits) {
--- a/src/storage/record_keys.hpp
+++ b/src/storage/record_keys.hpp
@@ -1,15 +1,16 @@
-/// The keys of what larkroad keeps in the key-value store.
+/// The keys of larkroad's records in the key-value store.
 ///
-///   leader          who leads, under a lease; the key's revision is the fencing token
-///   catalog         the machine types, so that a restarted controller need not wait for the cloud
-///   j/ID            a job that is not over: what was submitted, and whether it is cancelled
-///   p/ID/SHARD      where the job's tasks are placed and which are done, for one range of its
-///   tasks d/ID            a job that is over, for good m/MACHINE       the images that a machine
-///   is known to hold: a hint to a new leader, no more q/MEMBER/SLOT   a batch of heartbeats that a
-///   relay cannot hand to the leader directly a/MEMBER/SLOT   the leader's answer to it v/MEMBER
-///   the version of records and messages that a controller understands
+///   leader         the leader, under a lease; the key's revision is the fencing token
+///   catalog        the machine types, so that a restarted controller need not wait for the cloud
+///   j/ID           an unfinished job: its specification and whether it is cancelled
+///   p/ID/SHARD     the placements and completions of one range of a job's tasks
+///   d/ID           a finished job; never deleted
+///   m/MACHINE      the images in a machine's cache; only a hint for a new leader
+///   q/MEMBER/SLOT  a batch of heartbeats that a relay cannot send to the leader directly
+///   a/MEMBER/SLOT  the leader's answer to that batch
+///   v/MEMBER       the version of records and messages that a controller supports
 ///
-/// Keys are stored and are read by earlier and later versions: they must not change.
+/// Earlier and later versions read the same keys, so the keys must not change.
 #pragma once
 
 #include <cstdint>
@@ -33,13 +34,13 @@
 std::string version_key(const std::string& member);
 std::string placement_key(const std::string& id, std::uint32_t shard);
 
-/// What a placement key names.
+/// The components of a placement key.
 struct PlacementKey {
   std::string job;
   std::uint32_t shard = 0;
 };
 
-/// Returns none when `key` is not a placement key.
+/// Returns nullopt when `key` is not a placement key.
 std::optional<PlacementKey> parse_placement_key(const std::string& key);
 
 }  // namespace larkroad::storage
--- a/src/storage/record_size.hpp
+++ b/src/storage/record_size.hpp
@@ -1,4 +1,4 @@
-/// Sizes of stored records, against the limit that the key-value store sets on one value.
+/// Sizes of stored records, for comparison with the key-value store's limit on one value.
 #pragma once
 
 #include <cstddef>
@@ -9,10 +9,10 @@
 
 using protocol::Json;
 
-/// The size of a record in bytes, as the key-value store counts it.
+/// The size of a record in bytes, as counted by the key-value store.
 size_t encoded_size(const Json& record);
 
-/// Whether a record is no larger than `value_bytes`.
+/// Whether the record is at most `value_bytes` long.
 bool fits_value(const Json& record, double value_bytes);
 
 }  // namespace larkroad::storage
--- a/src/storage/records.hpp
+++ b/src/storage/records.hpp
@@ -1,5 +1,5 @@
-/// All stored records and their keys. Each record's struct maps the stored field names, which stay
-/// as they are, to the terms of the code; record_keys.hpp lists what is stored where.
+/// Includes all stored records and their keys. Stored field names never change; each record's
+/// source file maps them to the names used in the code. record_keys.hpp lists the keys.
 #pragma once
 
 #include "storage/finished_record.hpp"
--- a/src/storage/relay_record.cpp
+++ b/src/storage/relay_record.cpp
@@ -5,8 +5,8 @@
 namespace larkroad::storage {
 namespace {
 
-constexpr const char* kRequestRecord = "relay request";
-constexpr const char* kAnswerRecord = "relay answer";
+constexpr const char* kRequestRecordKind = "relay request";
+constexpr const char* kAnswerRecordKind = "relay answer";
 constexpr const char* kNumber = "number";
 constexpr const char* kBatch = "batch";
 constexpr const char* kStatus = "status";
@@ -19,7 +19,7 @@
 }
 
 RelayRequestRecord decode_relay_request(const Json& data) {
-  const RecordReader reader(kRequestRecord, data);
+  const RecordReader reader(kRequestRecordKind, data);
   return {reader.integer(kNumber), reader.decode(kBatch, protocol::batch_from_json)};
 }
 
@@ -29,7 +29,7 @@
 }
 
 RelayAnswerRecord decode_relay_answer(const Json& data) {
-  const RecordReader reader(kAnswerRecord, data);
+  const RecordReader reader(kAnswerRecordKind, data);
   return {reader.integer(kNumber), static_cast<int>(reader.integer(kStatus)),
           reader.decode(kBody, [](const Json& body) { return body.dump(); })};
 }
--- a/src/storage/relay_record.hpp
+++ b/src/storage/relay_record.hpp
@@ -1,6 +1,7 @@
-/// Heartbeats and their answers on the way through the key-value store, where a relay cannot reach
-/// the leader directly. A relay writes a batch under `q/MEMBER/SLOT`, and the leader its answer
-/// under `a/MEMBER/SLOT`; the number tells a batch and its answer from earlier ones in that slot.
+/// Heartbeats and their answers that are passed through the key-value store when a relay cannot
+/// reach the leader directly. The relay writes a batch under `q/MEMBER/SLOT` and the leader writes
+/// the answer under `a/MEMBER/SLOT`. The number distinguishes a batch and its answer from earlier
+/// ones in the same slot.
 #pragma once
 
 #include <cstdint>
@@ -25,7 +26,7 @@
 
 struct RelayAnswerRecord {
   std::uint64_t number = 0;
-  int status = 0;    ///< the HTTP status of the same answer sent directly
+  int status = 0;    ///< the HTTP status that the answer would have if sent directly
   std::string body;  ///< JSON text
 };
 
--- a/src/storage/request_queue.cpp
+++ b/src/storage/request_queue.cpp
@@ -6,9 +6,9 @@
 namespace larkroad::storage {
 namespace {
 
-// A queue that holds more than can be sent in this time takes no more requests.
+// A queue that holds more requests than can be sent in this time rejects further ones.
 constexpr Seconds kMaxQueueDelay = 1.0;
-// A user's request that has waited for longer than this is refused.
+// A user request that has waited for longer than this is rejected.
 constexpr Seconds kMaxUserWait = kMaxQueueDelay * 2;
 constexpr Seconds kMinPassInterval = 0.005;
 
@@ -24,61 +24,61 @@
     send_(std::move(request));
     return;
   }
-  auto& queue = waiting_[{priority, request.writes > 0}];
+  auto& queue = queues_[{priority, request.writes > 0}];
   if (is_full(queue.size())) {
-    refuse(std::move(request));
+    reject(std::move(request));
     return;
   }
   queue.push_back({std::move(request), clock_.now()});
-  send_allowed();
+  send_permitted();
 }
 
 bool RequestQueue::is_full(size_t length) const {
   return static_cast<double>(length) > limiter_.requests_per_second() * kMaxQueueDelay;
 }
 
-void RequestQueue::send_allowed() {
+void RequestQueue::send_permitted() {
   limiter_.refill(clock_.now());
-  Shortage shortage;
-  for (auto& [request_class, queue] : waiting_) {
-    send_allowed_of(request_class, queue, shortage);
+  ExhaustedLimits exhausted;
+  for (auto& [key, queue] : queues_) {
+    send_permitted_from(key, queue, exhausted);
   }
-  if (shortage.requests || shortage.writes) schedule_next_pass();
+  if (exhausted.requests || exhausted.writes) schedule_next_pass();
 }
 
-void RequestQueue::send_allowed_of(const Class& request_class, std::deque<Waiting>& queue,
-                                   Shortage& shortage) {
+void RequestQueue::send_permitted_from(const QueueKey& key, std::deque<QueuedRequest>& queue,
+                                       ExhaustedLimits& exhausted) {
   while (!queue.empty()) {
-    if (may_send(queue.front().request, shortage)) {
-      send_first(queue);
+    if (may_send(queue.front().request, exhausted)) {
+      send_front(queue);
       continue;
     }
-    // Users are asked to come back; all other requests keep their place in the queue. When they
-    // lost it, large transactions never had their turn beside a backlog of small ones.
-    const bool expires = request_class.priority == RequestPriority::user;
+    // User requests expire, and users are asked to retry. All other requests keep their position in
+    // the queue: if they lost it, a backlog of small transactions would starve large ones.
+    const bool expires = key.priority == RequestPriority::user;
     if (!expires || clock_.now() - queue.front().queued_at <= kMaxUserWait) return;
     StoreRequest expired = std::move(queue.front().request);
     queue.pop_front();
-    refuse(std::move(expired));
+    reject(std::move(expired));
   }
 }
 
-bool RequestQueue::may_send(const StoreRequest& request, Shortage& shortage) const {
+bool RequestQueue::may_send(const StoreRequest& request, ExhaustedLimits& exhausted) const {
   const double writes = limiter_.writes_needed(request.writes);
   const bool needs_writes = writes > 0;
-  shortage.requests = shortage.requests || !limiter_.has_request();
-  shortage.writes = shortage.writes || (needs_writes && !limiter_.has_writes(writes));
-  return !shortage.requests && !(needs_writes && shortage.writes);
+  exhausted.requests = exhausted.requests || !limiter_.has_request();
+  exhausted.writes = exhausted.writes || (needs_writes && !limiter_.has_writes(writes));
+  return !exhausted.requests && !(needs_writes && exhausted.writes);
 }
 
-void RequestQueue::send_first(std::deque<Waiting>& queue) {
+void RequestQueue::send_front(std::deque<QueuedRequest>& queue) {
   StoreRequest request = std::move(queue.front().request);
   queue.pop_front();
   limiter_.take(request.writes);
   send_(std::move(request));
 }
 
-void RequestQueue::refuse(StoreRequest request) {
+void RequestQueue::reject(StoreRequest request) {
   clock_.after(0, [done = std::move(request.done)] { done(Status::unavailable, {}); });
 }
 
@@ -88,7 +88,7 @@
   const Seconds until_next_token = 1 / limiter_.requests_per_second();
   scope_.after(std::max(kMinPassInterval, until_next_token), [this] {
     pass_scheduled_ = false;
-    send_allowed();
+    send_permitted();
   });
 }
 
--- a/src/storage/request_queue.hpp
+++ b/src/storage/request_queue.hpp
@@ -1,4 +1,4 @@
-/// Requests to the key-value store that wait until the rate limits allow them.
+/// Queues requests to the key-value store until the rate limits permit them.
 #pragma once
 
 #include <deque>
@@ -12,17 +12,17 @@
 
 namespace larkroad::storage {
 
-/// A request to the key-value store and what becomes of its answer.
+/// A request to the key-value store with the callback for its reply.
 struct StoreRequest {
   transport::Request request;
   Seconds timeout = 0;
-  double writes = 0;  ///< writes and deletes in it, which the store limits
+  double writes = 0;  ///< the number of writes and deletes, which the store limits
   std::function<void(Status, transport::Response)> done;
 };
 
-/// Sends requests in the order of their priorities, first come first served within each.
+/// Sends requests in order of priority, and first in, first out within each priority.
 ///
-/// Lease renewals and watches never wait. Requests that would wait too long are refused as
+/// Lease renewals and watches are sent at once. Requests that would wait too long are rejected as
 /// `unavailable`, so that their callers can react to the overload. Not thread-safe.
 class RequestQueue {
  public:
@@ -30,42 +30,43 @@
 
   RequestQueue(transport::Clock& clock, RateLimiter& limiter, Send send);
 
-  /// Sends the request, now or later. `done` is called in every case, and never from in here
-  /// unless `send` does so.
+  /// Sends the request now or queues it. `done` is always called eventually. It is not called from
+  /// within `submit`, unless `send` does so.
   void submit(StoreRequest request, RequestPriority priority);
 
  private:
-  // Requests that write wait apart, so that reads need not wait for the write limit.
-  struct Class {
+  // Requests that write are queued separately, so that the write limit does not delay reads.
+  struct QueueKey {
     RequestPriority priority;
     bool writes;
-    // clang-tidy 14 takes the compared zero for a null pointer and for a boolean.
+    // clang-tidy 14 mistakes the zero in the comparison for a null pointer and a boolean.
     // NOLINTNEXTLINE(modernize-use-nullptr,readability-implicit-bool-conversion)
-    friend auto operator<=>(const Class&, const Class&) = default;
+    friend auto operator<=>(const QueueKey&, const QueueKey&) = default;
   };
-  struct Waiting {
+  struct QueuedRequest {
     StoreRequest request;
     Seconds queued_at;
   };
-  // What ran out in one pass over the queues: a class that comes later does not get what an
-  // earlier one waits for.
-  struct Shortage {
+  // The limits that were exhausted during one pass over the queues. Later queues must not use
+  // tokens that an earlier queue is waiting for.
+  struct ExhaustedLimits {
     bool requests = false;
     bool writes = false;
   };
 
   bool is_full(size_t length) const;
-  void send_allowed();
-  void send_allowed_of(const Class& request_class, std::deque<Waiting>& queue, Shortage& shortage);
-  bool may_send(const StoreRequest& request, Shortage& shortage) const;
-  void send_first(std::deque<Waiting>& queue);
-  void refuse(StoreRequest request);
+  void send_permitted();
+  void send_permitted_from(const QueueKey& key, std::deque<QueuedRequest>& queue,
+                           ExhaustedLimits& exhausted);
+  bool may_send(const StoreRequest& request, ExhaustedLimits& exhausted) const;
+  void send_front(std::deque<QueuedRequest>& queue);
+  void reject(StoreRequest request);
   void schedule_next_pass();
 
   transport::Clock& clock_;
   RateLimiter& limiter_;
   Send send_;
-  std::map<Class, std::deque<Waiting>> waiting_;  // in the order in which they are served
+  std::map<QueueKey, std::deque<QueuedRequest>> queues_;  // ordered by priority
   bool pass_scheduled_ = false;
   transport::CallbackScope scope_;
 };
--- a/src/storage/store_availability.cpp
+++ b/src/storage/store_availability.cpp
@@ -5,9 +5,9 @@
 namespace larkroad::storage {
 namespace {
 
-// Told apart from 0, which means that the latest request was answered.
-constexpr Seconds kShortestFailure = 1e-9;
-// Time between probes, as a part of a request's timeout.
+// Distinguishes a failure at this instant from 0, which means that the latest request succeeded.
+constexpr Seconds kMinFailureDuration = 1e-9;
+// The time between probes, as a fraction of the request timeout.
 constexpr double kProbeIntervalRatio = 0.25;
 
 }  // namespace
@@ -23,7 +23,7 @@
 
 Seconds StoreAvailability::failing_for() const {
   if (!failing_since_) return 0;
-  return std::max(kShortestFailure, clock_.now() - *failing_since_);
+  return std::max(kMinFailureDuration, clock_.now() - *failing_since_);
 }
 
 bool StoreAvailability::worth_trying() {
--- a/src/storage/store_availability.hpp
+++ b/src/storage/store_availability.hpp
@@ -1,4 +1,4 @@
-/// Whether the key-value store answers this controller.
+/// Tracks whether the key-value store is available to this controller.
 #pragma once
 
 #include <optional>
@@ -9,19 +9,19 @@
 
 using transport::Seconds;
 
-/// Keeps account of answered and failed requests. Used by KeyValueClient.
+/// Tracks successful and failed requests. Used by KeyValueClient.
 class StoreAvailability {
  public:
-  /// `timeout`: how long a request may take.
+  /// `timeout`: the timeout of a request.
   StoreAvailability(transport::Clock& clock, Seconds timeout) : clock_(clock), timeout_(timeout) {}
 
   void record_success();
   void record_failure();
 
-  /// How long requests have failed without a break; 0 when the latest one was answered.
+  /// How long all requests have been failing; 0 when the latest one succeeded.
   Seconds failing_for() const;
-  /// False while requests have failed for longer than one may take, but for a probe now and then.
-  /// A true answer counts as the probe.
+  /// Whether a request should be attempted. False while requests have been failing for longer than
+  /// one timeout, except for an occasional probe; returning true then starts the probe interval.
   bool worth_trying();
   bool answered_ever() const { return answered_ever_; }
 
--- a/src/storage/store_messages.cpp
+++ b/src/storage/store_messages.cpp
@@ -12,9 +12,9 @@
 namespace http_status = transport::http_status;
 
 constexpr const char* kPageSize = "1000";
-// The bounds that the store sets on the life of a lease.
-constexpr double kMinLeaseMs = 100;
-constexpr double kMaxLeaseMs = 600'000;
+// The store's bounds on the time to live of a lease.
+constexpr double kMinLeaseTtlMs = 100;
+constexpr double kMaxLeaseTtlMs = 600'000;
 
 Entry decode_entry_json(const Json& json) {
   return {protocol::text(json, "k"), protocol::need(json, "data"), protocol::integer(json, "mark")};
@@ -90,9 +90,9 @@
   return {"POST", "/commit", body.dump()};
 }
 
-Request encode_grant(Seconds life) {
-  const double life_ms = std::clamp(life * 1000, kMinLeaseMs, kMaxLeaseMs);
-  return {"POST", "/grants", Json{{"lifeMs", static_cast<std::uint64_t>(life_ms)}}.dump()};
+Request encode_grant(Seconds ttl) {
+  const double ttl_ms = std::clamp(ttl * 1000, kMinLeaseTtlMs, kMaxLeaseTtlMs);
+  return {"POST", "/grants", Json{{"lifeMs", static_cast<std::uint64_t>(ttl_ms)}}.dump()};
 }
 
 Request encode_extend(std::uint64_t lease) {
--- a/src/storage/store_messages.hpp
+++ b/src/storage/store_messages.hpp
@@ -1,5 +1,5 @@
 /// Requests and replies of the key-value store, and their mapping to its HTTP protocol. The store's
-/// own field names (`mark`, `hold`, `ledger`, ...) appear in store_messages.cpp alone.
+/// field names (`mark`, `hold`, `ledger`, ...) are used only in store_messages.cpp.
 #pragma once
 
 #include <algorithm>
@@ -16,51 +16,52 @@
 using protocol::Json;
 using transport::Seconds;
 
-/// Whose request goes first when this controller's share of the store's limits does not serve all.
+/// The order in which requests are sent when this controller's share of the store's limits is
+/// exhausted, highest priority first.
 enum class RequestPriority {
-  lease,       ///< lease renewals and watches: never wait
-  user,        ///< a user is waiting for the answer
+  lease,       ///< lease renewals and watches; never queued
+  user,        ///< a user is waiting for the reply
   scheduling,  ///< placements and completions
-  bulk,        ///< those of low-priority work, of which there may be more than can be written
-  background,  ///< what only saves time later
+  bulk,        ///< those of low-priority jobs, which may exceed the write limit for long
+  background,  ///< optimizations only
 };
 
 enum class Status {
   ok,
   missing,      ///< no such key or lease
   conflict,     ///< a precondition failed
-  no_lease,     ///< a write names an expired lease
-  too_old,      ///< a watch from a revision that the store no longer keeps
-  unavailable,  ///< not carried out: refused, limited, or never sent
-  unknown,      ///< may have been carried out, or may yet be
-  invalid,      ///< the store calls the request malformed or too large
+  no_lease,     ///< a write refers to an expired lease
+  too_old,      ///< the watch's start revision is no longer kept by the store
+  unavailable,  ///< not carried out: rejected, rate-limited or never sent
+  unknown,      ///< may have been carried out, or may still be
+  invalid,      ///< rejected by the store as malformed or too large
 };
 
 struct Entry {
   std::string key;
   Json data;
-  std::uint64_t revision = 0;  ///< of the key's last change
+  std::uint64_t revision = 0;  ///< revision of the key's last change
 };
 
-/// The revision that a key must have for a transaction to be carried out.
+/// The revision that a key must have for a transaction to be applied.
 struct Precondition {
   std::string key;
-  std::uint64_t revision = 0;  ///< 0, as in the store's protocol: the key must not exist
+  std::uint64_t revision = 0;  ///< 0: the key must not exist, as in the store's protocol
 };
 
 struct Write {
   std::string key;
   Json data;
-  std::optional<std::uint64_t> lease;  ///< the key is deleted when this lease ends
+  std::optional<std::uint64_t> lease;  ///< the key is deleted when this lease expires
 };
 
-/// A compare-and-swap of several keys: carried out as a whole, or not at all.
+/// An atomic compare-and-swap of several keys.
 struct Transaction {
   std::vector<Precondition> preconditions;
   std::vector<Write> writes;
   std::vector<std::string> deletes;
 
-  /// Writes and deletes, which is what the store limits.
+  /// The number of writes and deletes, which the store limits.
   size_t changes() const { return writes.size() + deletes.size(); }
 
   bool has_precondition_on(const std::string& key) const {
@@ -71,7 +72,7 @@
 
 struct CommitReply {
   Status status = Status::unknown;
-  std::uint64_t revision = 0;       ///< with `ok`: of all changes of the transaction
+  std::uint64_t revision = 0;       ///< with `ok`: the revision of all changes in the transaction
   std::vector<std::string> failed;  ///< with `conflict`: the keys whose preconditions failed
 
   /// Whether the precondition on `key` failed.
@@ -82,9 +83,9 @@
 
 struct ListReply {
   Status status = Status::unknown;
-  std::vector<Entry> entries;  ///< in the order of their keys
-  bool more = false;           ///< the list goes on after the last entry
-  std::uint64_t revision = 0;  ///< of the store when it was listed
+  std::vector<Entry> entries;  ///< ordered by key
+  bool more = false;           ///< there are more entries after the last one
+  std::uint64_t revision = 0;  ///< revision of the store when the page was read
 };
 
 struct Event {
@@ -96,29 +97,29 @@
 
 struct WatchReply {
   Status status = Status::unknown;
-  std::uint64_t revision = 0;  ///< up to which the events are complete
-  std::vector<Event> events;   ///< in the order of their revisions
+  std::uint64_t revision = 0;  ///< the revision up to which the events are complete
+  std::vector<Event> events;   ///< ordered by revision
 };
 
-/// What an HTTP answer, or the lack of one, says of a request.
+/// Maps the outcome of a call and its HTTP status to a status.
 Status status_of(transport::Outcome outcome, int http_status);
 
 transport::Request encode_get(const std::string& key);
-/// `after`: the key after which the list begins; empty: at its start.
+/// `after`: the key after which the page starts; empty: the first page.
 transport::Request encode_list(const std::string& prefix, const std::string& after);
 transport::Request encode_commit(const Transaction& transaction);
-transport::Request encode_grant(Seconds life);
+transport::Request encode_grant(Seconds ttl);
 transport::Request encode_extend(std::uint64_t lease);
 transport::Request encode_release(std::uint64_t lease);
 transport::Request encode_watch(const std::string& prefix, std::uint64_t since, Seconds block);
 
-/// These decode the body of an answer with status 200, and throw Malformed.
+/// The following functions decode the body of a reply with status 200. They throw Malformed.
 Entry decode_entry(const std::string& body);
 ListReply decode_list(const std::string& body);
 WatchReply decode_watch(const std::string& body);
 std::uint64_t decode_grant(const std::string& body);
 
-/// Decodes the answer to a transaction; throws when the body of `ok` or `conflict` is malformed.
+/// Decodes the reply to a transaction. Throws when the body of `ok` or `conflict` is malformed.
 CommitReply decode_commit(Status status, const std::string& body);
 
 }  // namespace larkroad::storage
--- a/src/storage/version_record.cpp
+++ b/src/storage/version_record.cpp
@@ -5,7 +5,7 @@
 namespace larkroad::storage {
 namespace {
 
-constexpr const char* kRecord = "version";
+constexpr const char* kRecordKind = "version";
 constexpr const char* kVersion = "version";
 
 }  // namespace
@@ -13,7 +13,7 @@
 Json encode_version(std::uint64_t version) { return Json{{kVersion, version}}; }
 
 std::uint64_t decode_version(const Json& data) {
-  return RecordReader(kRecord, data).integer(kVersion);
+  return RecordReader(kRecordKind, data).integer(kVersion);
 }
 
 }  // namespace larkroad::storage
--- a/src/storage/version_record.hpp
+++ b/src/storage/version_record.hpp
@@ -1,5 +1,6 @@
-/// The version of records and messages that a controller understands, stored under `v/MEMBER`. What
-/// only a newer version understands is used once every controller has recorded such a version.
+/// The version of records and messages that a controller supports, stored under `v/MEMBER`. A
+/// feature of a newer version is used once every controller has recorded that version or a later
+/// one.
 #pragma once
 
 #include <cstdint>
