--- a/tests/class_statistics_test.cpp
+++ b/tests/class_statistics_test.cpp
@@ -14,7 +14,7 @@
     spec.job_class = "batch";
     spec.estimate_s = 100;
   }
-  Job submitted_at(Seconds time, std::uint32_t tasks) const {
+  Job job_submitted_at(Seconds time, std::uint32_t tasks) const {
     Job job;
     job.spec = spec;
     job.spec.tasks = tasks;
@@ -27,41 +27,42 @@
   JobSpec spec;
 };
 
-TEST_F(WorkloadStatisticsTest, ExpectsTheEstimateUntilATaskHasRun) {
+TEST_F(WorkloadStatisticsTest, ExpectedRunIsTheEstimateUntilATaskCompletes) {
   EXPECT_DOUBLE_EQ(workload.expected_run(spec), 100);
 }
 
-TEST_F(WorkloadStatisticsTest, CorrectsTheEstimateBoundedlyByWhatTasksShow) {
+TEST_F(WorkloadStatisticsTest, CorrectsTheEstimateByObservedRunTimesWithinBounds) {
   workload.learn_run(spec, 200);  // ratio 2
   EXPECT_DOUBLE_EQ(workload.expected_run(spec), 110);
   for (int i = 0; i < 1000; ++i) workload.learn_run(spec, 1e6);
-  EXPECT_NEAR(workload.expected_run(spec), 400, 1e-6) << "no more than four times the estimate";
+  EXPECT_NEAR(workload.expected_run(spec), 400, 1e-6) << "at most four times the estimate";
   for (int i = 0; i < 1000; ++i) workload.learn_run(spec, 0.1);
-  EXPECT_NEAR(workload.expected_run(spec), 25, 1e-6) << "no less than a quarter";
+  EXPECT_NEAR(workload.expected_run(spec), 25, 1e-6) << "at least a quarter of the estimate";
 }
 
-TEST_F(WorkloadStatisticsTest, HasNoMeanRunTimeBeforeARunHasBeenMeasured) {
-  workload.learn_arrival(submitted_at(0, 1));
+TEST_F(WorkloadStatisticsTest, MeanRunTimeIsEmptyUntilARunIsMeasured) {
+  workload.learn_arrival(job_submitted_at(0, 1));
   EXPECT_FALSE(workload.classes().at("batch").mean_run_time);
-  workload.learn_run(spec, 0);  // it completed within one heartbeat: nothing was measured
+  workload.learn_run(spec, 0);  // completed within one heartbeat, so not measured
   EXPECT_FALSE(workload.classes().at("batch").mean_run_time);
   workload.learn_run(spec, 40);
   workload.learn_run(spec, 50);
   EXPECT_DOUBLE_EQ(workload.classes().at("batch").mean_run_time.value(), 41);
 }
 
-TEST_F(WorkloadStatisticsTest, CountsArrivalsAlikeInAnyOrder) {
+TEST_F(WorkloadStatisticsTest, ArrivalStatisticsDoNotDependOnTheOrder) {
   WorkloadStatistics reversed(settings);
-  const std::vector<Job> jobs{submitted_at(0, 4), submitted_at(60, 2), submitted_at(90, 8)};
+  const std::vector<Job> jobs{job_submitted_at(0, 4), job_submitted_at(60, 2),
+                              job_submitted_at(90, 8)};
   for (const Job& job : jobs) workload.learn_arrival(job);
   for (const Job& job : std::vector<Job>(jobs.rbegin(), jobs.rend())) reversed.learn_arrival(job);
-  const ClassStatistics& one = workload.classes().at("batch");
-  const ClassStatistics& other = reversed.classes().at("batch");
-  EXPECT_NEAR(workload.arrival_rate(one, 100), reversed.arrival_rate(other, 100), 1e-9);
-  EXPECT_NEAR(one.weighted_squares, other.weighted_squares, 1e-9);
-  EXPECT_EQ(one.latest.tasks, 8u);
-  EXPECT_EQ(other.latest.tasks, 8u);
-  EXPECT_LT(workload.arrival_rate(one, 200), workload.arrival_rate(one, 100));
+  const ClassStatistics& in_order = workload.classes().at("batch");
+  const ClassStatistics& in_reverse = reversed.classes().at("batch");
+  EXPECT_NEAR(workload.arrival_rate(in_order, 100), reversed.arrival_rate(in_reverse, 100), 1e-9);
+  EXPECT_NEAR(in_order.weighted_squares, in_reverse.weighted_squares, 1e-9);
+  EXPECT_EQ(in_order.latest.tasks, 8u);
+  EXPECT_EQ(in_reverse.latest.tasks, 8u);
+  EXPECT_LT(workload.arrival_rate(in_order, 200), workload.arrival_rate(in_order, 100));
 }
 
 }  // namespace
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -1,9 +1,9 @@
-// What the first version writes is read by this one, and the other way round.
+// Compatibility with the first version, in both directions.
 //
-// fixtures/first_version.json holds requests of the controllers of the commit that it names. To
-// capture them, its simulated runs (of single faults, and of late transactions) were played with a
-// line in Network::send that wrote down each request of a controller to the store or to another
-// controller; of each kind of message one is kept.
+// fixtures/first_version.json contains requests sent by the controllers of the commit that it
+// names. They were captured in that commit's simulated runs (single faults and late transactions),
+// by logging in Network::send each request of a controller to the store or to another controller.
+// One message of each kind is kept.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -57,7 +57,7 @@
   return out;
 }
 
-TEST(FirstVersion, ItsRecordsAreReadAndWrittenAsTheyWere) {
+TEST(FirstVersion, RecordsRoundTripUnchanged) {
   std::map<std::string, int> seen;
   for (const auto& record : captured_records()) {
     SCOPED_TRACE(record.key + " " + record.data.dump());
@@ -80,15 +80,15 @@
       EXPECT_FALSE(protocol::text(record.data, "member").empty());
       EXPECT_GT(protocol::integer(record.data, "lease"), 0u);
     } else {
-      ADD_FAILURE() << "a record that this version does not know";
+      ADD_FAILURE() << "unknown kind of record";
     }
   }
   for (const char* kind : {"j", "p", "d", "m", "catalog", "leader"}) EXPECT_GT(seen[kind], 0);
 }
 
-// The first version reads these fields and no others, needs those that all of its records have, and
-// does not keep the others when it writes a record anew.
-TEST(FirstVersion, ReadsTheRecordOfAServiceAsThatOfAnArray) {
+// The first version reads only the fields below. It requires those that all of its records contain,
+// and drops unknown fields when it rewrites a record.
+TEST(FirstVersion, ReadsAServiceRecordAsAnArrayJob) {
   std::set<std::string> known{"types", "zone", "deadline_s", "cancelled"};
   std::map<std::string, Json> needed;
   for (const auto& record : captured_records()) {
@@ -109,8 +109,8 @@
     EXPECT_EQ(written[name].is_string(), value.is_string()) << name;
   }
   EXPECT_EQ(written.at("gang"), false);
-  // A controller of the first version cancels it and loses the field. What it was makes no
-  // difference any more.
+  // A first-version controller that cancels the job drops the field of its shape, which is not
+  // needed for a cancelled job.
   Json rewritten = written;
   for (const auto& name : fields_of(written)) {
     if (!known.contains(name)) rewritten.erase(name);
@@ -124,7 +124,7 @@
   EXPECT_TRUE(storage::decode_job("job-1", written).spec.is_service());
 }
 
-TEST(FirstVersion, ItsMessagesAreUnderstood) {
+TEST(FirstVersion, MessagesAreAccepted) {
   std::set<std::string> targets;
   for (const auto& message : captured_messages()) {
     if (message.target == "/commit") continue;
@@ -133,26 +133,26 @@
     sim::World world(1, {});
     world.run(5);
     int status = 0;
-    // To one that does not lead, nor sent it.
-    size_t other = 0;
-    while (other == world.leader() ||
-           message.body.value("member", "") == "node-" + std::to_string(other)) {
-      ++other;
+    // The recipient is neither the leader nor the sender.
+    size_t recipient = 0;
+    while (recipient == world.leader() ||
+           message.body.value("member", "") == "node-" + std::to_string(recipient)) {
+      ++recipient;
     }
-    ASSERT_LT(other, sim::kControllers);
-    world.controller(other).handle_peer(
+    ASSERT_LT(recipient, sim::kControllers);
+    world.controller(recipient).handle_peer(
         {"POST", message.target, message.body.dump()},
         [&](const transport::Response& response) { status = response.status; });
     world.run(8);
-    // A batch of heartbeats is for whoever leads.
+    // Only the leader accepts a batch of heartbeats.
     EXPECT_EQ(status, message.target == protocol::kRelayPath ? 421 : 200);
   }
   EXPECT_EQ(targets, (std::set<std::string>{"/peer", "/cancelled", "/user", "/relay"}));
 }
 
-// A replica that a controller of the first version took for an array's task and found done is not
-// done: it wants a place.
-TEST(FirstVersion, ACompletionOfAReplicaCountsForNothing) {
+// A first-version controller treats the replicas of a service as tasks of an array job and may
+// record one as done. That completion is ignored, and the replica is placed again.
+TEST(FirstVersion, CompletionOfAReplicaIsIgnored) {
   const Settings settings = testing::settings();
   coordination::ClusterState cluster(settings);
   auto spec = testing::spec("job-1", 3);
--- a/tests/job_cache_test.cpp
+++ b/tests/job_cache_test.cpp
@@ -1,4 +1,4 @@
-/// The cache of jobs against a scripted store.
+/// Tests of the job cache with a scripted store.
 #include "storage/job_cache.hpp"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
 class JobCacheTest : public testing::ScriptedStoreTest {
  protected:
   JobCacheTest() : cache(clock, client, settings) {}
-  // The results of so many refreshes at once.
+  // Requests `count` refreshes at once and returns their results.
   std::vector<Status> refresh(int count) {
     std::vector<Status> results;
     for (int i = 0; i < count; ++i) {
@@ -32,20 +32,20 @@
   JobCache cache;
 };
 
-TEST_F(JobCacheTest, FollowsTheRecordsWithOneRequestForManyQueries) {
+TEST_F(JobCacheTest, ManyQueriesShareOneRequest) {
   const struct {
-    const char* what;
+    const char* description;
     ScriptedAnswer answer;
     const char* target;
     Status status;
-    std::vector<std::pair<std::string, bool>> jobs;  // and whether they are cancelled
+    std::vector<std::pair<std::string, bool>> jobs;  // id and whether it is cancelled
   } cases[] = {
-      {"first it is read",
+      {"first read of all jobs",
        {Outcome::answered, {200, kListed, 0}},
        "/store?starts=j/",
        Status::ok,
        {{"job-1", false}, {"job-2", true}}},
-      {"then only changes are",
+      {"later reads of changes only",
        {Outcome::answered,
         {200,
          R"({"ledger":9,"events":[{"write":"j/job-3","data":{},"mark":6},)"
@@ -54,17 +54,17 @@
        "/watch?starts=j/&since=5&blockMs=0",
        Status::ok,
        {{"job-1", true}, {"job-3", false}}},
-      {"nothing has changed",
+      {"no changes",
        {Outcome::answered, {200, R"({"ledger":12,"events":[]})", 0}},
        "/watch?starts=j/&since=9&blockMs=0",
        Status::ok,
        {{"job-1", true}, {"job-3", false}}},
-      {"it cannot be asked",
+      {"store unavailable",
        {Outcome::answered, {503, "{}", 0}},
        "/watch?starts=j/&since=12&blockMs=0",
        Status::unavailable,
        {{"job-1", true}, {"job-3", false}}},
-      {"no answer",
+      {"reply lost",
        testing::kLostAnswer,
        "/watch?starts=j/&since=12&blockMs=0",
        Status::unknown,
@@ -73,21 +73,22 @@
   for (const auto& c : cases) {
     net.sent.clear();
     net.script = {c.answer};
-    EXPECT_EQ(refresh(50), std::vector<Status>(50, c.status)) << c.what;
-    ASSERT_EQ(net.sent.size(), 1u) << c.what;
-    EXPECT_TRUE(net.sent[0].target.starts_with(c.target)) << c.what << ": " << net.sent[0].target;
+    EXPECT_EQ(refresh(50), std::vector<Status>(50, c.status)) << c.description;
+    ASSERT_EQ(net.sent.size(), 1u) << c.description;
+    EXPECT_TRUE(net.sent[0].target.starts_with(c.target))
+        << c.description << ": " << net.sent[0].target;
     for (const char* id : {"job-1", "job-2", "job-3"}) {
-      const auto wanted = std::find_if(c.jobs.begin(), c.jobs.end(),
-                                       [&](const auto& item) { return item.first == id; });
+      const auto expected = std::find_if(c.jobs.begin(), c.jobs.end(),
+                                         [&](const auto& item) { return item.first == id; });
       const auto* job = cache.find(id);
-      ASSERT_EQ(job != nullptr, wanted != c.jobs.end()) << c.what << ": " << id;
+      ASSERT_EQ(job != nullptr, expected != c.jobs.end()) << c.description << ": " << id;
       if (job == nullptr) continue;
-      EXPECT_EQ(job->cancelled, wanted->second) << c.what << ": " << id;
+      EXPECT_EQ(job->cancelled, expected->second) << c.description << ": " << id;
     }
   }
 }
 
-TEST_F(JobCacheTest, IsReadAgainWhenItHasFallenBehind) {
+TEST_F(JobCacheTest, ReadsAllJobsAgainWhenItsRevisionIsTooOld) {
   net.script = {{Outcome::answered, {200, kListed, 0}}};
   refresh(1);
   net.script = {{Outcome::answered, {410, "{}", 0}},
@@ -96,7 +97,8 @@
   EXPECT_EQ(cache.find("job-1"), nullptr);
 }
 
-// A request that is under way may have been carried out before the query was made.
+// A request already in flight may have been executed before the query was made, so its reply may be
+// too old.
 TEST_F(JobCacheTest, QueryWaitsForARequestSentAfterIt) {
   std::vector<int> order;
   cache.refresh([&](Status) {
--- a/tests/key_value_client_test.cpp
+++ b/tests/key_value_client_test.cpp
@@ -1,4 +1,4 @@
-/// The key-value store's client against a scripted store.
+/// Tests of the key-value store client with a scripted store.
 #include "storage/key_value_client.hpp"
 
 #include <gtest/gtest.h>
@@ -18,15 +18,15 @@
 class KeyValueClientTest : public testing::ScriptedStoreTest {
  protected:
   CommitReply commit_until_certain() {
-    Transaction txn;
-    txn.preconditions.push_back({"a", 0});
-    txn.writes.push_back({"a", {{"x", 1}}, std::nullopt});
-    std::optional<CommitReply> got;
+    Transaction transaction;
+    transaction.preconditions.push_back({"a", 0});
+    transaction.writes.push_back({"a", {{"x", 1}}, std::nullopt});
+    std::optional<CommitReply> result;
     client.commit_until_certain(
-        txn, [this, until = clock.now() + 20] { return clock.now() < until; },
-        [&](CommitReply reply) { got = reply; });
+        transaction, [this, until = clock.now() + 20] { return clock.now() < until; },
+        [&](CommitReply reply) { result = reply; });
     clock.run_until(clock.now() + 30);
-    return got.value();
+    return result.value();
   }
 };
 
@@ -39,21 +39,24 @@
 
 TEST_F(KeyValueClientTest, CommitUntilCertainReportsTheOutcome) {
   const struct {
-    const char* what;
+    const char* description;
     std::deque<ScriptedAnswer> script;
     Status status;
     std::uint64_t revision;
   } cases[] = {
       {"applied", {kApplied}, Status::ok, 9},
-      {"refused, then applied", {kUnavailable, kUnavailable, kApplied}, Status::ok, 9},
-      {"a precondition failed", {kConflict}, Status::conflict, 0},
-      {"lost, then applied", {testing::kLostAnswer, kApplied}, Status::ok, 9},
-      {"lost, though applied", {testing::kLostAnswer, kConflict, kOwnData}, Status::ok, 7},
-      {"lost, though applied, read back late",
+      {"unavailable, then applied", {kUnavailable, kUnavailable, kApplied}, Status::ok, 9},
+      {"precondition failed", {kConflict}, Status::conflict, 0},
+      {"reply lost, then applied", {testing::kLostAnswer, kApplied}, Status::ok, 9},
+      {"reply lost after being applied",
+       {testing::kLostAnswer, kConflict, kOwnData},
+       Status::ok,
+       7},
+      {"reply lost after being applied, first read-back lost",
        {testing::kLostAnswer, kConflict, testing::kLostAnswer, kConflict, kOwnData},
        Status::ok,
        7},
-      {"lost, and another was there",
+      {"reply lost, key changed by another transaction",
        {testing::kLostAnswer, kConflict, kOtherData},
        Status::conflict,
        0},
@@ -61,11 +64,11 @@
   for (const auto& c : cases) {
     net.script = c.script;
     const CommitReply reply = commit_until_certain();
-    EXPECT_EQ(reply.status, c.status) << c.what;
+    EXPECT_EQ(reply.status, c.status) << c.description;
     if (c.status == Status::ok) {
-      EXPECT_EQ(reply.revision, c.revision) << c.what;
+      EXPECT_EQ(reply.revision, c.revision) << c.description;
     }
-    EXPECT_TRUE(net.script.empty()) << c.what;
+    EXPECT_TRUE(net.script.empty()) << c.description;
   }
 }
 
@@ -74,9 +77,10 @@
   EXPECT_EQ(commit_until_certain().status, Status::unknown);
 }
 
-// The moment at which the limits fall is not announced; a refusal shows it. As other things bring
-// refusals too, the present limits are tried again, after longer each time.
-TEST_F(KeyValueClientTest, RefusalLowersTheLimitsForAWhile) {
+// The limits drop at an unannounced time, which a rejected request indicates. As there are other
+// reasons for rejections, the client returns to the current limits, after a longer period each
+// time.
+TEST_F(KeyValueClientTest, RejectionLowersTheLimitsTemporarily) {
   settings.next_store_limits.write_rps = settings.store_limits.write_rps / 5;
   ScriptedStoreClient own_net;
   KeyValueClient own(clock, own_net, settings);
@@ -85,55 +89,58 @@
     const size_t before = own_net.sent.size();
     const Seconds end = clock.now() + length;
     while (clock.now() < end) {
-      Transaction txn;
-      txn.writes.push_back({"a", {{"x", 1}}, std::nullopt});
+      Transaction transaction;
+      transaction.writes.push_back({"a", {{"x", 1}}, std::nullopt});
       own.commit(
-          txn, [](const CommitReply&) {}, RequestPriority::user);
+          transaction, [](const CommitReply&) {}, RequestPriority::user);
       clock.run_until(clock.now() + 0.01);
     }
     return own_net.sent.size() - before;
   };
-  const double present = settings.store_limits.write_rps;
-  const double next = settings.next_store_limits.write_rps;
-  writes_in(5);  // past the burst
-  EXPECT_GT(static_cast<double>(writes_in(5)), 5 * present * 0.8);
+  const double current_rps = settings.store_limits.write_rps;
+  const double next_rps = settings.next_store_limits.write_rps;
+  writes_in(5);  // uses up the initial burst
+  EXPECT_GT(static_cast<double>(writes_in(5)), 5 * current_rps * 0.8);
   own_net.script.push_back({Outcome::answered, {429, "{}", 0}});
   writes_in(0.1);
-  EXPECT_LE(static_cast<double>(writes_in(5)), 5 * next * 1.1);
+  EXPECT_LE(static_cast<double>(writes_in(5)), 5 * next_rps * 1.1);
   clock.run_until(clock.now() + settings.lease_s);
   writes_in(5);
-  EXPECT_GT(static_cast<double>(writes_in(5)), 5 * present * 0.8) << "tried again";
+  EXPECT_GT(static_cast<double>(writes_in(5)), 5 * current_rps * 0.8)
+      << "current limits apply again";
   own_net.script.push_back({Outcome::answered, {429, "{}", 0}});
   writes_in(0.1);
   clock.run_until(clock.now() + settings.lease_s);
   writes_in(2);
-  EXPECT_LE(static_cast<double>(writes_in(5)), 5 * next * 1.1) << "for longer than before";
+  EXPECT_LE(static_cast<double>(writes_in(5)), 5 * next_rps * 1.1)
+      << "lower limits apply for longer";
 }
 
-TEST_F(KeyValueClientTest, KeepsToItsShareOfTheLimits) {
+TEST_F(KeyValueClientTest, StaysWithinItsShareOfTheLimits) {
   client.set_share(0.5, 0.5);
   int answered = 0;
-  int refused = 0;
+  int rejected = 0;
   for (int i = 0; i < 500; ++i) {
     client.get("a", [&](Status status, Entry) {
-      (status == Status::unavailable ? refused : answered) += 1;
+      (status == Status::unavailable ? rejected : answered) += 1;
     });
   }
   clock.run_until(2);
-  EXPECT_LE(net.sent.size(), 100u);  // half of 100 a second: a burst, and one second more
+  EXPECT_LE(net.sent.size(), 100u);  // half of 100 per second: a burst and one more second
   clock.run_until(20);
-  EXPECT_GT(refused, 0);  // what would wait too long is refused rather than kept
-  EXPECT_EQ(answered + refused, 500);
+  EXPECT_GT(rejected, 0);  // requests that would wait too long are rejected
+  EXPECT_EQ(answered + rejected, 500);
 }
 
-// Beside a backlog of small transactions a large one lost its place in the queue again and again:
-// in an incident the records of a large job were held up for five minutes.
+// Guards against starvation: a large transaction used to lose its position in the queue repeatedly
+// during a backlog of small ones. In one incident, the records of a large job were delayed by five
+// minutes.
 TEST_F(KeyValueClientTest, BacklogDoesNotStarveLargeTransactions) {
-  client.set_share(0.2, 0.1);  // some 5 changes and 19 requests a second
+  client.set_share(0.2, 0.1);  // about 5 changes and 19 requests per second
   std::function<void()> small = [&] {
-    Transaction txn;
-    txn.writes.push_back({"small", {{"x", 1}}, std::nullopt});
-    client.commit(txn, [](const CommitReply&) {});
+    Transaction transaction;
+    transaction.writes.push_back({"small", {{"x", 1}}, std::nullopt});
+    client.commit(transaction, [](const CommitReply&) {});
     clock.after(0.1, small);
   };
   small();
@@ -152,16 +159,16 @@
   EXPECT_LT(*done, 30);
 }
 
-// Records of low-priority work, of which a large array makes more than can be written, delay no
+// A large low-priority array job produces more records than can be written. They must not delay
 // other requests.
-TEST_F(KeyValueClientTest, BulkRequestsGoLast) {
+TEST_F(KeyValueClientTest, BulkRequestsAreSentLast) {
   client.set_share(0.5, 0.1);
   std::vector<std::string> order;
-  const auto commit = [&](const std::string& what, RequestPriority priority) {
-    Transaction txn;
-    txn.writes.push_back({what, {{"x", 1}}, std::nullopt});
+  const auto commit = [&](const std::string& key, RequestPriority priority) {
+    Transaction transaction;
+    transaction.writes.push_back({key, {{"x", 1}}, std::nullopt});
     client.commit(
-        txn, [&order, what](const CommitReply&) { order.push_back(what); }, priority);
+        transaction, [&order, key](const CommitReply&) { order.push_back(key); }, priority);
   };
   clock.run_until(10);
   for (int i = 0; i < 20; ++i) commit("bulk", RequestPriority::bulk);
@@ -175,7 +182,7 @@
   EXPECT_EQ(order[before + 1], "scheduling");
 }
 
-TEST_F(KeyValueClientTest, LeaseRenewalsDoNotWait) {
+TEST_F(KeyValueClientTest, LeaseRenewalsAreNotQueued) {
   for (int i = 0; i < 200; ++i) client.get("a", [](Status, Entry) {});
   const size_t before = net.sent.size();
   client.extend(7, [](Status) {});
@@ -183,7 +190,7 @@
   EXPECT_EQ(net.sent.back().target, "/grants/7/extend");
 }
 
-TEST_F(KeyValueClientTest, ReportsHowLongRequestsHaveFailed) {
+TEST_F(KeyValueClientTest, ReportsTheDurationOfFailures) {
   EXPECT_FALSE(client.answered_ever());
   client.get("a", [](Status, Entry) {});
   EXPECT_TRUE(client.answered_ever());
@@ -194,27 +201,28 @@
   client.get("a", [](Status, Entry) {});
   EXPECT_NEAR(client.failing_for(), 3, 0.1);
   EXPECT_TRUE(client.worth_trying());   // one probe
-  EXPECT_FALSE(client.worth_trying());  // and none right after it
+  EXPECT_FALSE(client.worth_trying());  // no second probe right after it
   client.get("a", [](Status, Entry) {});
   EXPECT_EQ(client.failing_for(), 0);
 }
 
-// Preconditions fail while the outcome is not known. Whether it was this transaction that changed
-// the keys is seen from the key of its first write: unchanged, it may still hold the same data.
-TEST_F(KeyValueClientTest, FailedPreconditionOnAnotherKeyIsNoSuccess) {
+// When a precondition fails after a lost reply, the key of the first write shows whether this
+// transaction was applied. An unchanged key may hold the same data from an earlier write, and must
+// not count as a success.
+TEST_F(KeyValueClientTest, FailedPreconditionOnAnotherKeyIsNotASuccess) {
   const struct {
-    const char* what;
+    const char* description;
     const char* failed;
     Status status;
   } cases[] = {
-      {"its own key has changed, to its own data", R"({"failed":["a"]})", Status::ok},
-      {"another one has", R"({"failed":["leader"]})", Status::conflict},
+      {"own key changed, to the written data", R"({"failed":["a"]})", Status::ok},
+      {"another key changed", R"({"failed":["leader"]})", Status::conflict},
   };
   for (const auto& c : cases) {
     net.script = {testing::kLostAnswer,
                   {Outcome::answered, {409, c.failed, 0}},
                   {Outcome::answered, {200, R"({"k":"a","data":{"x":1},"mark":7})", 0}}};
-    EXPECT_EQ(commit_until_certain().status, c.status) << c.what;
+    EXPECT_EQ(commit_until_certain().status, c.status) << c.description;
     net.script.clear();
   }
 }
--- a/tests/rate_limiter_test.cpp
+++ b/tests/rate_limiter_test.cpp
@@ -21,7 +21,7 @@
   Settings settings;
 };
 
-TEST_F(RateLimiterTest, BucketsHoldOneSecondAndRefillWithTime) {
+TEST_F(RateLimiterTest, BucketsHoldTokensForOneSecondAndRefillOverTime) {
   RateLimiter limiter = full_limiter();
   int requests = 0;
   for (; limiter.has_request(); ++requests) limiter.take(0);
@@ -32,17 +32,17 @@
   EXPECT_NEAR(requests, limiter.requests_per_second() / 2, 1);
 }
 
-TEST_F(RateLimiterTest, LeaseRenewalsMayOverdraw) {
+TEST_F(RateLimiterTest, LeaseRenewalsMayOverdrawTheBucket) {
   RateLimiter limiter = full_limiter();
-  const double second = limiter.requests_per_second();
-  for (int i = 0; i < 2 * second; ++i) limiter.take(0);
+  const double capacity = limiter.requests_per_second();
+  for (int i = 0; i < 2 * capacity; ++i) limiter.take(0);
   limiter.refill(100.5);
   EXPECT_FALSE(limiter.has_request());
   limiter.refill(101.6);
   EXPECT_TRUE(limiter.has_request());
 }
 
-TEST_F(RateLimiterTest, TransactionLargerThanTheBucketNeedsAFullOne) {
+TEST_F(RateLimiterTest, TransactionLargerThanTheBucketNeedsAFullBucket) {
   RateLimiter limiter = full_limiter();
   const double bucket = limiter.writes_needed(1e9);
   EXPECT_LT(bucket, settings.store_limits.write_rps);
@@ -53,7 +53,7 @@
   EXPECT_TRUE(limiter.has_writes(limiter.writes_needed(1)));
 }
 
-TEST_F(RateLimiterTest, LoweringLastsTwiceAsLongEachTime) {
+TEST_F(RateLimiterTest, PeriodOfLowerLimitsDoublesEachTime) {
   RateLimiter limiter = full_limiter();
   Seconds now = 100;
   for (const double factor : {1.0, 2.0, 4.0}) {
@@ -61,7 +61,7 @@
     EXPECT_EQ(limiter.lower_limits(now), settings.lease_s * factor);
     EXPECT_FALSE(limiter.has_writes(1));
     EXPECT_EQ(limiter.write_limit(), settings.next_store_limits.write_rps);
-    EXPECT_FALSE(limiter.lower_limits(now + 1)) << "lowered already";
+    EXPECT_FALSE(limiter.lower_limits(now + 1)) << "already lowered";
     now += settings.lease_s * factor;
     limiter.refill(now - 0.1);
     EXPECT_EQ(limiter.write_limit(), settings.next_store_limits.write_rps);
@@ -70,7 +70,7 @@
   }
 }
 
-TEST_F(RateLimiterTest, WithoutLowerLimitsNothingIsLowered) {
+TEST_F(RateLimiterTest, LimitsStayWhenTheNextLimitsAreNotLower) {
   settings.next_store_limits = settings.store_limits;
   RateLimiter limiter = full_limiter();
   EXPECT_FALSE(limiter.lower_limits(100));
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -16,15 +16,15 @@
   EXPECT_EQ(parsed->shard, 340u);
 }
 
-TEST(RecordKeys, OtherKeysAreNoPlacementKeys) {
+TEST(RecordKeys, OtherKeysAreNotParsedAsPlacementKeys) {
   for (const char* key : {"j/job-1/2", "p/job-1", "p/job-1/", "p/job-1/x", "p//", "p/1", "p/",
                           "leader", "", "p/job-1/12345678", "p/job-1/-1"}) {
     EXPECT_FALSE(parse_placement_key(key)) << key;
   }
 }
 
-// The names under which fields are stored are read by the versions before and after this one.
-TEST(Records, StoredFieldNamesStay) {
+// Earlier and later versions read the same stored field names.
+TEST(Records, StoredFieldNamesAreStable) {
   EXPECT_EQ(encode(PlacementRecord{7, {{0, 3}}, {{4, 7, "i-1", 2}}}),
             Json::parse(R"({"attempt":7,"done":[[0,3]],"placed":[[4,7,"i-1",2]]})"));
   EXPECT_EQ(encode(PlacementRecord{7, {}, {}}), Json::parse(R"({"attempt":7})"));
@@ -89,14 +89,15 @@
   }
 }
 
-// Cancelling a job may enlarge its record by the field that says so, and by nothing else.
+// Cancelling a job may enlarge its record only by the cancellation flag.
 TEST(Records, CancelledJobFitsTheLimitOfItsSubmission) {
   JobRecord record{testing::spec("job-1", 3), 1.5, 16, false};
-  record.spec.image = std::string(200, '\x01');  // six bytes each
+  record.spec.image = std::string(200, '\x01');  // six bytes per character when encoded
   const auto size = static_cast<double>(encoded_size(encode(record)));
   EXPECT_FALSE(can_be_cancelled_within(record, size));
   EXPECT_TRUE(can_be_cancelled_within(record, size + 20));
-  EXPECT_EQ(encode_within(record, size - 1), encode(record)) << "only a cancelled one is shortened";
+  EXPECT_EQ(encode_within(record, size - 1), encode(record))
+      << "only the record of a cancelled job is shortened";
   record.cancelled = true;
   const Json shortened = encode_within(record, size);
   EXPECT_LT(static_cast<double>(encoded_size(shortened)), size);
@@ -121,8 +122,8 @@
   EXPECT_TRUE(decode_images(encode(Images{})).empty());
 }
 
-// A new leader restores the cluster's state from shards in whatever order the store lists their
-// keys.
+// A new leader restores the cluster state from shards in the order in which the store lists their
+// keys, which is not their numerical order.
 TEST(Records, ClusterStateIsRestoredFromShardsInAnyOrder) {
   const Settings settings = testing::settings();
   for (const bool reversed : {false, true}) {
--- a/tests/scripted_store.hpp
+++ b/tests/scripted_store.hpp
@@ -1,4 +1,4 @@
-/// A key-value store client whose answers a test writes down beforehand.
+/// A transport client that simulates a key-value store with scripted replies, and its test fixture.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -20,7 +20,8 @@
 using transport::Seconds;
 using ScriptedAnswer = std::pair<Outcome, Response>;
 
-/// Answers each call at once with the next answer of the script, and with success after its end.
+/// Answers each call immediately with the next reply of the script, or with success when the script
+/// is exhausted.
 class ScriptedStoreClient : public transport::Client {
  public:
   void call(const std::string&, Request request, Seconds, transport::OnReply reply) override {
@@ -39,7 +40,7 @@
 
 inline const ScriptedAnswer kLostAnswer{Outcome::unknown, {}};
 
-/// A client of a scripted store.
+/// Fixture with a key-value store client connected to a scripted store.
 class ScriptedStoreTest : public ::testing::Test {
  protected:
   ScriptedStoreTest() : settings(testing::settings()), client(clock, net, settings) {}
--- a/tests/store_messages_test.cpp
+++ b/tests/store_messages_test.cpp
@@ -1,4 +1,4 @@
-/// The key-value store's requests and replies as they are on the wire.
+/// Tests of the wire format of the key-value store's requests and replies.
 #include "storage/store_messages.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 
 using transport::Outcome;
 
-TEST(StoreMessages, RequestsOnTheWire) {
+TEST(StoreMessages, EncodesRequests) {
   Transaction transaction;
   transaction.preconditions.push_back({"a/b", 4});
   transaction.writes.push_back({"a/b", {{"x", 1}}, 7});
@@ -41,7 +41,7 @@
   }
 }
 
-TEST(StoreMessages, StatusOfAnAnswer) {
+TEST(StoreMessages, MapsOutcomesAndHttpStatuses) {
   const struct {
     Outcome outcome;
     int http_status;
@@ -58,7 +58,7 @@
   }
 }
 
-TEST(StoreMessages, CommitReplies) {
+TEST(StoreMessages, DecodesCommitReplies) {
   EXPECT_EQ(decode_commit(Status::ok, R"({"ledger":9})").revision, 9u);
   const CommitReply conflict = decode_commit(Status::conflict, R"({"failed":["a"],"ledger":9})");
   EXPECT_TRUE(conflict.failed_on("a"));
@@ -71,7 +71,7 @@
   EXPECT_THROW(decode_commit(Status::conflict, "not JSON"), std::exception);
 }
 
-TEST(StoreMessages, WatchReplies) {
+TEST(StoreMessages, DecodesWatchReplies) {
   const WatchReply reply =
       decode_watch(R"({"ledger":433,"events":[{"write":"c/9","data":{"x":1},"mark":433},)"
                    R"({"drop":"c/d","mark":432}]})");
