--- a/tests/combined_failures_test.cpp
+++ b/tests/combined_failures_test.cpp
@@ -1,5 +1,5 @@
-// Whole runs in which several faults meet: most rules that were ever broken broke where two did.
-// Each row stands for a row in docs/DESIGN.md.
+// Full simulated runs that combine several faults. Most invariant violations found so far needed
+// two faults at the same time. Each scenario corresponds to a row of the table in docs/DESIGN.md.
 #include <gtest/gtest.h>
 
 #include "sim/long_jobs.hpp"
@@ -9,8 +9,8 @@
 namespace {
 
 const Scenario kCombinedFailures[] = {
-    // Workers can't open connections to any controller, while direct commands still reach them.
-    {"mute_machines",
+    // Workers cannot open connections to any controller, but still receive direct commands.
+    {"machines_cannot_send",
      {.lost_responses = 0.002,
       .delayed_requests = 0.005,
       .max_request_delay = 30,
@@ -26,7 +26,7 @@
          world.events.schedule_at(24 + 32 * k, [&world] { world.users.cancel_running_jobs(2); });
        }
      }},
-    {"all_controllers_away_beyond_a_lease",
+    {"all_controllers_down_longer_than_a_lease",
      {.delayed_requests = 0.01,
       .max_request_delay = 30,
       .cancelled_jobs = 0.2,
@@ -40,7 +40,7 @@
          });
        }
      }},
-    {"cancelled_at_the_end",
+    {"cancelled_on_completion",
      {.lost_responses = 0.01,
       .delayed_requests = 0.01,
       .max_request_delay = 20,
@@ -48,7 +48,7 @@
      [](World& world) {
        with_leader(world, 60, [&world](size_t leader) { world.crash(leader, 1); });
      }},
-    {"late_transactions_while_leaders_change",
+    {"delayed_transactions_during_leader_changes",
      {.lost_responses = 0.04,
       .delayed_requests = 0.08,
       .max_request_delay = 12,
@@ -74,7 +74,7 @@
          with_leader(world, 22 + 20 * k, [&world](size_t leader) { world.crash(leader, 2); });
        }
      }},
-    {"cut_from_state_and_peers_while_jobs_are_cancelled",
+    {"leader_isolated_while_jobs_are_cancelled",
      {.lost_responses = 0.002,
       .delayed_requests = 0.005,
       .max_request_delay = 30,
@@ -86,7 +86,7 @@
          world.events.schedule_at(when + 4, [&world] { world.users.cancel_running_jobs(6); });
        }
      }},
-    {"limits_at_a_takeover",
+    {"team_limits_during_failover",
      {.lost_responses = 0.002,
       .delayed_requests = 0.01,
       .max_request_delay = 25,
@@ -103,7 +103,7 @@
          world.events.schedule_at(when + 2, [&world] { world.users.cancel_running_jobs(5); });
        }
      }},
-    {"long_tasks_not_reached_at_a_takeover",
+    {"long_tasks_unreachable_during_failover",
      {.lost_responses = 0.002,
       .delayed_requests = 0.005,
       .max_request_delay = 25,
@@ -124,28 +124,28 @@
          with_leader(world, when + 0.5, [&world](size_t leader) { world.crash(leader, 3); });
        }
      }},
-    {"a_zone_cut_off_with_a_controller",
+    {"zone_partitioned_with_one_controller",
      {.lost_responses = 0.002,
       .delayed_requests = 0.005,
       .max_request_delay = 25,
       .cancelled_jobs = 0.2},
      [](World& world) {
-       // One controller and the machines of a zone see each other, and nobody else.
+       // One controller and the machines of one zone can reach only each other.
        for (const Seconds when : {30, 90}) {
          world.events.schedule_at(when, [&world] {
-           const size_t inside = (world.leader() + 1) % kControllers;
-           world.isolate_controller(inside, 20);
-           for (const auto& m : world.workers) {
-             if (m->zone != "west") continue;
+           const size_t isolated = (world.leader() + 1) % kControllers;
+           world.isolate_controller(isolated, 20);
+           for (const auto& worker : world.workers) {
+             if (worker->zone != "west") continue;
              for (size_t i = 0; i < kControllers; ++i) {
-               if (i != inside) world.network.partition(controller_name(i), m->name, 20);
+               if (i != isolated) world.network.partition(controller_name(i), worker->name, 20);
              }
            }
          });
          world.events.schedule_at(when + 2, [&world] { world.users.cancel_running_jobs(4); });
        }
      }},
-    {"ten_leaders_in_two_minutes",
+    {"ten_leader_changes_in_two_minutes",
      {.lost_responses = 0.005,
       .delayed_requests = 0.005,
       .max_request_delay = 30,
@@ -160,8 +160,8 @@
        world.events.schedule_at(78, [&world] { world.store.set_outage(false); });
        world.events.schedule_at(63, [&world] { world.users.cancel_running_jobs(4); });
      }},
-    // Arrays that are bound to one zone lose machines, while the leader changes.
-    {"arrays_of_one_zone_lose_machines",
+    // Array jobs restricted to one zone lose machines while the leader changes.
+    {"one_zone_arrays_lose_machines",
      {.lost_responses = 0.002, .delayed_requests = 0.01, .max_request_delay = 25},
      [](World& world) {
        for (int k = 0; k < 20; ++k) {
@@ -181,7 +181,7 @@
            with_leader(world, 27 + 14 * k, [&world](size_t leader) { world.crash(leader, 2); });
        }
      }},
-    {"tasks_that_end_far_apart",
+    {"tasks_complete_at_different_times",
      {.lost_responses = 0.01,
       .delayed_requests = 0.01,
       .max_request_delay = 25,
@@ -213,8 +213,8 @@
          });
        });
      }},
-    // Commands that were carried out and answered arrive once more, after their tasks were stopped
-    // or failed, were forgotten and run elsewhere.
+    // Commands that were already executed and answered are delivered again, after their tasks have
+    // stopped or failed, have been removed from the worker, and run on another machine.
     {"copies_of_direct_commands",
      {.lost_responses = 0.002,
       .delayed_requests = 0.002,
@@ -223,7 +223,8 @@
       .duplicated_commands = 0.7,
       .image_fetch_time = 0.05},
      [](World& world) {
-       // Low work that urgent work pushes aside again and again, at its team's limit.
+       // Low-priority jobs that high-priority jobs preempt repeatedly while the team is at its
+       // limit.
        for (int k = 0; k < 90; ++k) {
          JobSpec spec = testing::spec("job-" + std::to_string(5000 + k), 1 + k % 4, 3);
          spec.team = k % 2 == 0 ? "red" : "blue";
@@ -235,7 +236,7 @@
          world.events.schedule_at(20 + 10 * k, [&world] { world.users.cancel_running_jobs(2); });
        }
      }},
-    {"more_work_than_room",
+    {"demand_exceeds_capacity",
      {.lost_responses = 0.002, .delayed_requests = 0.002, .max_request_delay = 25},
      [](World& world) {
        world.cloud.capacity = 10;
@@ -259,7 +260,7 @@
 INSTANTIATE_TEST_SUITE_P(Scenarios, CombinedFailureScenario, ::testing::ValuesIn(kCombinedFailures),
                          [](const auto& info) { return std::string(info.param.name); });
 
-// ---------------------------------------------------------------- any two at once
+// ---------------------------------------------------------------- random pairs of faults
 
 using Fault = std::function<void(World&, Seconds)>;
 
@@ -339,8 +340,8 @@
     },
 };
 
-// Drawn from fixed seeds, so that the verdict is the same every time.
-TEST(CombinedFailures, AnyTwoFaultsAtOnce) {
+// The pairs are drawn from fixed seeds, so the test is deterministic.
+TEST(CombinedFailures, RandomPairsOfFaults) {
   for (std::uint64_t seed = 1; seed <= 24; ++seed) {
     const Scenario scenario{
         "pairs",
@@ -354,8 +355,8 @@
         [](World& world) {
           for (const Seconds when : {25, 65, 105}) {
             for (int k = 0; k < 2; ++k) {
-              const auto which = static_cast<size_t>(world.random_fraction() * std::size(kFaults));
-              kFaults[which](world, when + 4 * world.random_fraction());
+              const auto fault = static_cast<size_t>(world.random_fraction() * std::size(kFaults));
+              kFaults[fault](world, when + 4 * world.random_fraction());
             }
             world.events.schedule_at(when + 6 * world.random_fraction(),
                                      [&world] { world.users.cancel_running_jobs(3); });
--- a/tests/invariant_checker_test.cpp
+++ b/tests/invariant_checker_test.cpp
@@ -1,4 +1,4 @@
-// The checker of simulated runs: it accepts what is right and finds each kind of violation.
+// InvariantChecker accepts correct behaviour and detects each kind of violation.
 #include "sim/invariant_checker.hpp"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
   JobSpec spec;
 };
 
-TEST_F(InvariantCheckerTest, AcceptsAnOrdinaryLifeOfAJob) {
+TEST_F(InvariantCheckerTest, AcceptsNormalJobLifecycle) {
   checker.task_started(2, {"job-1", 0}, east);
   checker.task_left_machine({"job-1", 0}, "i-1");
   checker.task_completed({"job-1", 0});
@@ -34,9 +34,9 @@
   checker.task_completed({"job-1", 1});
   checker.status_answered(4, "job-1", 200, "done");
   checker.status_answered(5, "job-2", 404, "");
-  // Asked before, though answered after the user was told of the end.
+  // Requested before the user learned that the job had ended, but answered afterwards.
   checker.status_answered(5, "job-1", 200, "running", 3.9);
-  // Unanswered while there were faults, and answered soon afterwards.
+  // Unanswered while faults were active, and answered soon after they ended.
   checker.status_requested(6, "job-1");
   checker.faults_end_at(400);
   checker.check_deadlines(470);
@@ -56,7 +56,7 @@
          checker.task_started(2, {"job-1", 0}, east);
          checker.task_started(3, {"job-1", 0}, east2);
        }},
-      {Invariant::team_quota,  // 20 CPUs each, 32 at most
+      {Invariant::team_quota,  // each task needs 20 CPUs; the team limit is 32
        [&](InvariantChecker& checker) {
          checker.task_started(2, {"job-1", 0}, east);
          checker.task_started(3, {"job-1", 1}, east2);
@@ -115,7 +115,7 @@
          checker.faults_end_at(40);
          checker.check_deadlines(40 + 76);
        }},
-      // It goes on after its machine hung; as long as that hangs it does nothing.
+      // A task on a hung machine is tolerated, but a violation once the machine responds again.
       {Invariant::cancelled_job_stops,
        [&](InvariantChecker& checker) {
          checker.task_started(2, {"job-1", 0}, east);
@@ -131,7 +131,8 @@
        [&](InvariantChecker& checker) {
          checker.cancellation_requested("job-1");
          checker.status_answered(2, "job-1", 200, "withdrawn");
-         checker.launch_sent(2 + 2.9, "job-1");  // not yet known everywhere
+         checker.launch_sent(2 + 2.9,
+                             "job-1");  // the cancellation may not be known to every controller yet
          EXPECT_TRUE(checker.violations().empty());
          checker.launch_sent(2 + 3.1, "job-1");
        }},
@@ -145,15 +146,16 @@
       {Invariant::no_waiting_beside_free_capacity,
        [&](InvariantChecker& checker) {
          checker.faults_end_at(10);
-         checker.placement_possible(5, "job-1", true);  // there are faults still
+         checker.placement_possible(5, "job-1", true);  // faults are still active
          checker.placement_possible(20, "job-1", true);
-         checker.placement_possible(60, "job-1", false);  // it has begun, or the capacity is taken
+         checker.placement_possible(60, "job-1",
+                                    false);  // it has started, or the capacity is in use
          checker.placement_possible(70, "job-1", true);
          checker.placement_possible(159, "job-1", true);
          EXPECT_TRUE(checker.violations().empty());
          checker.placement_possible(161, "job-1", true);
        }},
-      // One of four jobs of the class and of the team is served, and not the largest.
+      // Only one of four jobs of the class and team is served, and it is not the largest one.
       {Invariant::half_of_jobs_served,
        [&](InvariantChecker& checker) {
          for (int i = 2; i <= 4; ++i) {
@@ -165,7 +167,7 @@
          checker.task_completed({"job-2", 0});
          checker.finish(200);
        }},
-      // The largest begins only after four minutes.
+      // The largest job starts only after four minutes.
       {Invariant::large_jobs_start_in_time,
        [&](InvariantChecker& checker) {
          checker.task_started(243, {"job-1", 0}, east);
--- a/tests/sim/digest.cpp
+++ b/tests/sim/digest.cpp
@@ -1,9 +1,10 @@
-// Digests of what the controllers send in fixed simulated runs. Two versions that behave the same
-// print the same lines; where they differ, the dumps of a run show the first message that does.
+// Prints digests of all messages that the controllers send in a fixed set of simulated runs. Two
+// builds with the same behaviour print the same lines. If a digest differs, compare the dumps of
+// that run to find the first message that differs.
 //
-//   larkroad_digest                one line a run: name, seed, number of messages, digest
-//   larkroad_digest --dump NAME    every message of that run
-//   larkroad_digest --repeat NAME  plays that run twice; fails unless both digests agree
+//   larkroad_digest                prints one line per run: name, seed, number of messages, digest
+//   larkroad_digest --dump NAME    prints every message of the run
+//   larkroad_digest --repeat NAME  executes the run twice; fails if the digests differ
 #include <fmt/format.h>
 
 #include <cstdint>
@@ -20,7 +21,7 @@
 namespace larkroad::sim {
 namespace {
 
-// The 64-bit hash FNV-1a.
+// 64-bit FNV-1a hash.
 class Fnv1a {
  public:
   void add(std::string_view bytes) {
@@ -42,7 +43,7 @@
   std::uint64_t seed;
 };
 
-// Names of scenarios in the tables of the tests, or of kOwnScenarios.
+// Each name is that of a scenario in one of the test tables or in kDigestScenarios.
 constexpr Run kRuns[] = {
     {"lost_answers", 1},
     {"leader_crashes", 2},
@@ -68,8 +69,9 @@
     {"jobs_with_gpus", 1},
 };
 
-const Scenario kOwnScenarios[] = {
-    // Limits that nobody announced; jobs with a mistake; a leader whose watch goes unanswered.
+const Scenario kDigestScenarios[] = {
+    // Store limits reduced without notice, a job whose tasks always fail, a leader whose watches go
+    // unanswered, and a partition between zones.
     {"watch_held_up_zones_apart_and_smaller_limits",
      {.lost_responses = 0.005,
       .delayed_requests = 0.005,
@@ -77,19 +79,19 @@
       .cancelled_jobs = 0.2},
      [](World& world) {
        world.events.schedule_at(20, [&world] { world.store.limits.max_transaction_changes = 2; });
-       JobSpec wide = testing::spec("job-5000", 100, 0.25);
-       wide.memory_gb = 0.1;
-       world.users.submit(wide, 25);
-       JobSpec wrong = testing::spec("job-5001", 4);
-       world.tasks.faulty_jobs.insert(wrong.id);
-       world.users.submit(wrong, 30);
-       world.events.schedule_at(150, [&world, id = wrong.id] { world.users.cancel(id); });
+       JobSpec many_tasks = testing::spec("job-5000", 100, 0.25);
+       many_tasks.memory_gb = 0.1;
+       world.users.submit(many_tasks, 25);
+       JobSpec faulty = testing::spec("job-5001", 4);
+       world.tasks.faulty_jobs.insert(faulty.id);
+       world.users.submit(faulty, 30);
+       world.events.schedule_at(150, [&world, id = faulty.id] { world.users.cancel(id); });
        with_leader(world, 45, [&world](size_t leader) {
          world.store.hold_watches(controller_name(leader), 100);
        });
        world.events.schedule_at(110, [&world] { world.network.partition_zones(20); });
      }},
-    // Urgent work for which replicas and arrays of little priority make room.
+    // High-priority jobs that preempt service replicas and array tasks of lower priority.
     {"services_pushed_aside",
      {},
      [](World& world) {
@@ -123,40 +125,40 @@
      }},
 };
 
-const Scenario& scenario_named(std::string_view name) {
+const Scenario& find_scenario(std::string_view name) {
   for (const auto& table :
        {single_fault_scenarios(), relay_scenarios(), combined_failure_scenarios(),
-        service_scenarios(), upgrade_scenarios(), std::span<const Scenario>(kOwnScenarios)}) {
+        service_scenarios(), upgrade_scenarios(), std::span<const Scenario>(kDigestScenarios)}) {
     for (const Scenario& scenario : table) {
       if (name == scenario.name) return scenario;
     }
   }
-  throw std::runtime_error(fmt::format("no scenario is named {}", name));
+  throw std::runtime_error(fmt::format("unknown scenario: {}", name));
 }
 
-const Run& run_named(std::string_view name) {
+const Run& find_run(std::string_view name) {
   for (const Run& run : kRuns) {
     if (name == run.name) return run;
   }
-  throw std::runtime_error(fmt::format("no run is named {}", name));
+  throw std::runtime_error(fmt::format("unknown run: {}", name));
 }
 
-// One line: the time in full precision, who sends what to whom, and the body at the end.
-std::string message_line(Seconds when, const std::string& sender, const std::string& receiver,
-                         const Request& request, const Response* response) {
-  const std::string head =
+// One line per message: time in full precision, sender, receiver, method, target and body.
+std::string format_message(Seconds when, const std::string& sender, const std::string& receiver,
+                           const Request& request, const Response* response) {
+  const std::string prefix =
       fmt::format("{} {} -> {} {} {}", when, sender, receiver, request.method, request.target);
-  if (response == nullptr) return fmt::format("{} {}\n", head, request.body);
-  return fmt::format("{} status={} retry_after={} brief={} {}\n", head, response->status,
+  if (response == nullptr) return fmt::format("{} {}\n", prefix, request.body);
+  return fmt::format("{} status={} retry_after={} brief={} {}\n", prefix, response->status,
                      response->retry_after_s, response->brief, response->body);
 }
 
-void play_run(const Run& run, const std::function<void(const std::string& line)>& on_message) {
-  const Scenario& scenario = scenario_named(run.name);
+void execute_run(const Run& run, const std::function<void(const std::string& line)>& on_message) {
+  const Scenario& scenario = find_scenario(run.name);
   World world(run.seed, scenario.faults,
               [&](Seconds when, const std::string& sender, const std::string& receiver,
                   const Request& request, const Response* response) {
-                on_message(message_line(when, sender, receiver, request, response));
+                on_message(format_message(when, sender, receiver, request, response));
               });
   run_scenario(world, scenario);
 }
@@ -164,7 +166,7 @@
 std::string digest_line(const Run& run) {
   std::uint64_t messages = 0;
   Fnv1a hash;
-  play_run(run, [&](const std::string& line) {
+  execute_run(run, [&](const std::string& line) {
     ++messages;
     hash.add(line);
   });
@@ -176,7 +178,7 @@
   std::fflush(stdout);
 }
 
-bool repeats(const Run& run) {
+bool is_reproducible(const Run& run) {
   const std::string first = digest_line(run);
   const std::string second = digest_line(run);
   print(first + second);
@@ -188,13 +190,13 @@
   if (arguments.empty()) {
     for (const Run& run : kRuns) print(digest_line(run));
   } else if (arguments.size() == 2 && arguments[0] == "--dump") {
-    play_run(run_named(arguments[1]), print);
+    execute_run(find_run(arguments[1]), print);
   } else if (arguments.size() == 2 && arguments[0] == "--repeat") {
-    if (!repeats(run_named(arguments[1]))) return 1;
+    if (!is_reproducible(find_run(arguments[1]))) return 1;
   } else {
     throw std::runtime_error("usage: larkroad_digest [--dump NAME | --repeat NAME]");
   }
-  // An expectation of the simulation itself that failed on the way was printed by gtest.
+  // gtest has already printed any expectation that failed inside the simulation.
   return ::testing::Test::HasFailure() ? 1 : 0;
 }
 
--- a/tests/sim/event_queue.hpp
+++ b/tests/sim/event_queue.hpp
@@ -1,4 +1,5 @@
-/// Simulated time: a queue of events that one thread runs in a fixed order, so that a run repeats.
+/// Simulated time: an event queue that one thread processes in a deterministic order, so that runs
+/// are reproducible.
 #pragma once
 
 #include <cstdint>
@@ -13,17 +14,17 @@
 
 using transport::Seconds;
 
-/// Events in order of their time and, at one time, in the order in which they were scheduled.
-/// Time moves only from event to event; nothing here takes real time.
+/// Runs events ordered by time; events with equal times run in the order in which they were
+/// scheduled. Simulated time advances only from event to event.
 class EventQueue {
  public:
   using EventId = std::uint64_t;
 
-  /// An event in the past runs as soon as the events of the present have run.
+  /// An event scheduled in the past runs after all events that are due now.
   EventId schedule_at(Seconds when, std::function<void()> action);
   void cancel(EventId id) { cancelled_.insert(id); }
   Seconds now() const { return now_; }
-  /// Runs what is due up to and including `until`, and leaves the time there.
+  /// Runs all events due up to and including `until`, then sets the time to `until`.
   void run_until(Seconds until);
 
  private:
--- a/tests/sim/fake_cloud.cpp
+++ b/tests/sim/fake_cloud.cpp
@@ -40,9 +40,9 @@
   }
   Json machines = Json::array();
   for (int i = 0; i < request.at("number").get<int>(); ++i) {
-    const auto up = std::count_if(world_.workers.begin(), world_.workers.end(),
-                                  [](const auto& worker) { return !worker->terminated; });
-    if (up >= capacity) break;
+    const auto allocated = std::count_if(world_.workers.begin(), world_.workers.end(),
+                                         [](const auto& worker) { return !worker->terminated; });
+    if (allocated >= capacity) break;
     machines.push_back(add_machine(request));
   }
   if (machines.empty()) return {503, R"({"error":"no capacity"})"};
@@ -57,9 +57,9 @@
       request.at("breed"), request.at("yard"), request.at("loaners"));
   world_.workers.push_back(worker);
   created_at_[worker->name] = world_.events.now();
-  const Seconds booted =
+  const Seconds boot_finished =
       world_.events.now() + kMinBootTime + world_.random_fraction() * kBootTimeSpread;
-  world_.events.schedule_at(booted, [worker] {
+  world_.events.schedule_at(boot_finished, [worker] {
     if (!worker->terminated) worker->start();
   });
   return worker->name;
--- a/tests/sim/fake_key_value_store.cpp
+++ b/tests/sim/fake_key_value_store.cpp
@@ -9,7 +9,7 @@
 
 constexpr size_t kMaxBodyBytes = 65536;
 constexpr int kPreconditionsPerChange = 4;
-// Small, so that every run exercises paging.
+// Small enough that every run exercises paging.
 constexpr size_t kPageSize = 20;
 
 std::string parameter(const std::string& query, const std::string& name) {
@@ -212,7 +212,7 @@
 }
 
 bool FakeKeyValueStore::is_watch_held(const std::string& controller) const {
-  // Open watches of a controller that the store refuses wait as they do in an outage.
+  // Open watches of a controller that the store rejects stay unanswered, as in an outage.
   if (world_.network.refused_by_store.contains(controller)) return true;
   const auto it = held_watches_.find(controller);
   return it != held_watches_.end() && it->second > world_.events.now();
@@ -237,7 +237,7 @@
 
 void FakeKeyValueStore::notify_watchers() {
   if (outage_) return;
-  const auto watchers = watchers_;  // an answer may lead to a new watch
+  const auto watchers = watchers_;  // answering a watch may open a new one
   for (const auto& watcher : watchers) {
     if (!watcher->answered) answer(*watcher, WhenEmpty::keep_waiting);
   }
--- a/tests/sim/fake_key_value_store.hpp
+++ b/tests/sim/fake_key_value_store.hpp
@@ -1,4 +1,4 @@
-/// A stand-in for the key-value store, written to its published protocol.
+/// A fake key-value store that implements the published protocol.
 #pragma once
 
 #include <cstdint>
@@ -15,27 +15,27 @@
 
 class World;
 
-/// Models one linearizable store: transactions on conditions, ranges in pages, leases with their
-/// keys, watches that wait for a change, limits of size, and outages in which leases stand still.
-/// It does not model replicas, elections inside the store, compaction, or a limit of the rate.
+/// Models a single linearizable store: conditional transactions, paged range reads, leases with
+/// attached keys, long-polling watches, size limits, and outages during which no lease expires.
+/// It does not model replication, leader election within the store, compaction, or rate limits.
 class FakeKeyValueStore {
  public:
   FakeKeyValueStore(World& world, const StoreLimits& initial_limits)
       : limits(initial_limits), world_(world) {}
 
   void handle(const Request& request, const std::string& from, Respond respond);
-  /// While it is out, every request fails and no lease expires. When it is back, each lease has its
-  /// full time to live again.
+  /// During an outage every request fails and no lease expires. When it ends, every lease is
+  /// renewed for its full time to live.
   void set_outage(bool outage);
-  /// Watches of this controller go unanswered until then, though all its other requests succeed.
+  /// Leaves watches of this controller unanswered until then; its other requests succeed.
   void hold_watches(const std::string& controller, Seconds until) {
     held_watches_[controller] = until;
   }
   bool has_keys(const std::string& prefix) const;
 
-  /// May change in the course of a run.
+  /// Scenarios may change the limits during a run.
   StoreLimits limits;
-  /// Transactions that were refused for their size.
+  /// Number of transactions rejected for exceeding a size limit.
   size_t size_refusals = 0;
 
  private:
