--- a/tests/sim/fake_worker.cpp
+++ b/tests/sim/fake_worker.cpp
@@ -97,7 +97,7 @@
 void FakeWorker::send_heartbeat() {
   if (terminated || heartbeat_in_flight_) return;
   if (is_hung()) {
-    when_awake([this] { send_heartbeat(); });
+    when_responsive([this] { send_heartbeat(); });
     return;
   }
   heartbeat_in_flight_ = true;
@@ -159,7 +159,7 @@
 
 void FakeWorker::handle(const Request& request, const Respond& respond) {
   if (is_hung()) {
-    when_awake([self = shared_from_this(), request, respond] {
+    when_responsive([self = shared_from_this(), request, respond] {
       if (!self->terminated) self->handle(request, respond);
     });
     return;
@@ -261,7 +261,7 @@
   tasks_.at(key).stage = Stage::running;
   report_change();
   const JobSpec& spec = *world_.users.spec(key.first.job);
-  if (spec.is_service()) return;  // until it is stopped
+  if (spec.is_service()) return;  // runs until it is stopped
   schedule_for_task(world_.events.now() + spec.estimate_s, key, Stage::running,
                     [this, key] { world_.tasks.complete(key.first, key.second); });
 }
@@ -304,7 +304,7 @@
                                    std::function<void()> action) {
   const std::uint64_t launch_number = tasks_.at(key).launch_number;
   world_.events.schedule_at(when, [this, key, launch_number, stage, action = std::move(action)] {
-    when_awake([this, key, launch_number, stage, action] {
+    when_responsive([this, key, launch_number, stage, action] {
       if (find_task(key, launch_number, stage) != nullptr) action();
     });
   });
@@ -314,13 +314,13 @@
 
 bool FakeWorker::is_hung() const { return hung_until_ > world_.events.now(); }
 
-void FakeWorker::when_awake(std::function<void()> action) {
+void FakeWorker::when_responsive(std::function<void()> action) {
   if (!is_hung()) {
     action();
     return;
   }
   world_.events.schedule_at(hung_until_, [self = shared_from_this(), action = std::move(action)] {
-    self->when_awake(action);
+    self->when_responsive(action);
   });
 }
 
@@ -357,7 +357,7 @@
 
 void FakeWorker::check_lease() {
   if (terminated) return;
-  // One that hung beyond its lease ends everything as it wakes, before anything runs.
+  // A worker that hung past its lease ends all tasks when it resumes, before any task continues.
   end_expired_lease();
   world_.events.schedule_at(world_.events.now() + kLeaseCheckInterval, [this] { check_lease(); });
 }
@@ -370,7 +370,7 @@
 
 void FakeWorker::restart() {
   if (terminated) return;
-  fencing_token_ = 0;  // nothing survives the process
+  fencing_token_ = 0;  // the token is kept only in memory
   begin_incarnation();
 }
 
--- a/tests/sim/fake_worker.hpp
+++ b/tests/sim/fake_worker.hpp
@@ -1,4 +1,4 @@
-/// A stand-in for one machine with its worker, written to the published protocol.
+/// A fake machine with its worker process, which implements the published protocol.
 #pragma once
 
 #include <cstdint>
@@ -21,10 +21,10 @@
 
 class World;
 
-/// Models heartbeats, commands with fencing tokens, the worker's own lease, image fetches, gangs
-/// that gather before they run, checkpoints on a stop, spot reclaims, hangs and restarts. A task
-/// takes exactly its estimated time. It does not model disks, an image cache, CPU contention or
-/// partial failures of a machine.
+/// Models heartbeats, commands with fencing tokens, the worker's lease, image fetches, gangs whose
+/// members wait for each other before they run, checkpoints when a task is stopped, spot reclaims,
+/// hangs and restarts. A task runs for exactly its estimated time. It does not model disks, an
+/// image cache, CPU contention or partial machine failures.
 class FakeWorker : public std::enable_shared_from_this<FakeWorker> {
  public:
   enum class Stage { fetching, gathering, running, saving, exited };
@@ -32,40 +32,40 @@
     Stage stage = Stage::fetching;
     std::string exit_cause;
     bool checkpointed = false;
-    /// The checker counts it as on this machine.
+    /// Whether the invariant checker counts the task as running on this machine.
     bool counted = false;
-    /// Differs between two launches of one attempt, so that a timer of the first does not act on
-    /// the second.
+    /// Unique per launch, so that a timer set for an earlier launch of the same attempt does not
+    /// act on a later one.
     std::uint64_t launch_number = 0;
   };
-  /// A task and its attempt.
+  /// Task ID and attempt number.
   using Key = std::pair<TaskId, std::uint64_t>;
 
   FakeWorker(World& world, std::string machine, std::string network_address,
              std::string machine_type, std::string its_zone, bool is_spot);
 
-  /// The machine has booted.
+  /// Called when the machine has booted.
   void start();
   void handle(const Request& request, const Respond& respond);
-  /// The machine is gone, and everything on it.
+  /// Terminates the machine and everything on it.
   void terminate();
-  /// The worker is back at once at the same address, as a new incarnation without tasks.
+  /// Restarts the worker immediately at the same address, as a new incarnation without tasks.
   void restart();
-  /// The cloud announces that it takes this spot instance back.
+  /// The cloud announces that it will reclaim this spot instance after `notice`.
   void reclaim_in(Seconds notice);
-  /// From now on every task fails at its start.
+  /// From now on every task fails when it starts.
   void set_faulty() { faulty_ = true; }
-  /// Does nothing for so long; what arrives meanwhile is handled afterwards.
+  /// Stops processing for `length`; messages that arrive meanwhile are handled afterwards.
   void hang(Seconds length);
-  /// Ends a task that is here, with the exit cause of the protocol.
+  /// Ends a task on this machine with an exit cause as defined by the protocol.
   void exit(const Key& key, const std::string& cause, bool checkpointed = false);
-  /// A task that has gathered or needs no gang begins to run.
+  /// Runs a task whose gang is complete or that belongs to no gang.
   void run(const Key& key);
 
   bool is_running(const std::string& job) const;
-  /// Has a task of the job that has not exited.
+  /// Whether a task of the job is on this machine and has not exited.
   bool has_live_task(const std::string& job) const;
-  /// Takes no new work: it fails whatever starts, or is to be reclaimed.
+  /// Whether new tasks should not be placed here: tasks fail at start, or a reclaim is announced.
   bool is_unusable() const { return faulty_ || reclaimed_at_; }
   const std::map<Key, Task>& tasks() const { return tasks_; }
 
@@ -76,9 +76,9 @@
  private:
   Json heartbeat();
   void send_heartbeat();
-  /// Something to report: sends a heartbeat soon, without exceeding the highest rate.
+  /// Sends a heartbeat as soon as the minimum interval between heartbeats allows.
   void report_change();
-  /// Returns when to send the next heartbeat.
+  /// Returns the delay until the next heartbeat.
   Seconds on_heartbeat_reply(Seconds sent, std::uint64_t incarnation, Outcome outcome,
                              const Response& response);
   void on_heartbeat_accepted(Seconds sent, std::uint64_t incarnation, const Json& answer);
@@ -86,12 +86,12 @@
   Seconds try_next_controller();
   void execute(const Json& commands);
   void launch(const TaskId& id, std::uint64_t attempt);
-  /// Why a launch fails at once, if it does.
+  /// The exit cause if the launch fails immediately.
   std::optional<std::string> launch_error(const TaskId& id) const;
   void stop(const Key& key, double grace_period);
   void on_image_fetched(const Key& key);
   void gather(const Key& key);
-  /// Acts at that time, on the task as it is then, if it is still in this launch and stage.
+  /// Runs the action at `when` if the task is then still in the same launch and in `stage`.
   void schedule_for_task(Seconds when, const Key& key, Stage stage, std::function<void()> action);
   Task* find_task(const Key& key, std::uint64_t launch_number, Stage stage);
   void check_lease();
@@ -99,15 +99,15 @@
   void begin_incarnation();
   void end_all_tasks();
   bool is_hung() const;
-  /// Acts now, or when the machine no longer hangs.
-  void when_awake(std::function<void()> action);
+  /// Runs the action now or, if the machine hangs, as soon as it responds again.
+  void when_responsive(std::function<void()> action);
 
   World& world_;
   std::map<Key, Task> tasks_;
   std::uint64_t incarnation_ = 1;
   std::uint64_t sequence_ = 0;
   std::uint64_t fencing_token_ = 0;
-  /// When the latest heartbeat was sent that has been answered.
+  /// Send time of the latest heartbeat that has been answered.
   Seconds lease_renewed_at_ = 0;
   std::optional<Seconds> last_heartbeat_at_;
   std::optional<Seconds> reclaimed_at_;
@@ -116,7 +116,7 @@
   bool changed_since_heartbeat_ = false;
   bool faulty_ = false;
   Seconds hung_until_ = 0;
-  size_t controller_ = 0;  // that its heartbeats go to
+  size_t controller_ = 0;  // index of the controller that receives the heartbeats
   std::uint64_t launches_ = 0;
 };
 
--- a/tests/sim/fault_options.hpp
+++ b/tests/sim/fault_options.hpp
@@ -1,5 +1,5 @@
-/// Faults that occur at random all through a simulated run. Faults at set times are scheduled by
-/// the scenarios.
+/// Random faults that occur throughout a simulated run. Scenarios schedule faults at fixed times
+/// themselves.
 #pragma once
 
 #include <optional>
@@ -9,31 +9,32 @@
 
 namespace larkroad::sim {
 
-/// Rates are probabilities between 0 and 1.
+/// Rates are probabilities between 0 and 1, unless stated otherwise.
 struct FaultOptions {
   /// Responses that never arrive.
   double lost_responses = 0;
-  /// Requests that are delivered late, by up to `max_request_delay`: long after their sender gave
-  /// up.
+  /// Requests that are delayed by up to `max_request_delay`, which may be long after the sender's
+  /// timeout.
   double delayed_requests = 0;
   transport::Seconds max_request_delay = 40;
   /// Jobs that their users cancel at a random time.
   double cancelled_jobs = 0.1;
-  /// Heartbeats, and relays' batches of them, that are delivered once more within three leases.
+  /// Heartbeats and relayed heartbeat batches that are delivered again within three lease
+  /// durations.
   double duplicated_heartbeats = 0;
-  /// Responses to heartbeats that take seconds, though less than workers wait.
+  /// Heartbeat responses that take seconds, but less than the worker's timeout.
   double slow_heartbeat_responses = 0;
-  /// Sockets of each controller. With few of them, workers report by way of relays.
+  /// Sockets per controller. With few sockets, workers send heartbeats through relays.
   int sockets = 200;
-  /// Jobs that are cancelled at the moment when their last task completes.
+  /// Jobs that are cancelled at the moment their last task completes.
   double cancelled_on_completion = 0;
-  /// Status queries of users, as a multiple of the usual rate.
+  /// Rate of status queries, as a multiple of the default rate.
   double status_query_rate = 1;
-  /// Direct commands that are delivered once more within three leases.
+  /// Direct commands that are delivered again within three lease durations.
   double duplicated_commands = 0;
-  /// How long a machine fetches an image.
+  /// Time a machine takes to fetch an image.
   transport::Seconds image_fetch_time = 1;
-  /// Limits of the key-value store that the settings announce, if any.
+  /// Future limits of the key-value store, if the settings announce any.
   std::optional<StoreLimits> next_store_limits{};
 };
 
--- a/tests/sim/first_version.cpp
+++ b/tests/sim/first_version.cpp
@@ -8,7 +8,7 @@
 using protocol::Json;
 using transport::Request;
 
-std::optional<Request> transaction_of_first_version(const Request& request) {
+std::optional<Request> convert_transaction(const Request& request) {
   Json transaction = Json::parse(request.body);
   for (Json& item : transaction.at("apply")) {
     const std::string key = item.contains("write") ? item.at("write") : item.at("drop");
@@ -20,8 +20,8 @@
 
 }  // namespace
 
-std::optional<Request> as_sent_by_first_version(const Request& request) {
-  if (request.target == "/commit") return transaction_of_first_version(request);
+std::optional<Request> convert_to_first_version(const Request& request) {
+  if (request.target == "/commit") return convert_transaction(request);
   if (request.target != "/peer") return request;
   Json message = Json::parse(request.body);
   message.erase("version");
--- a/tests/sim/first_version.hpp
+++ b/tests/sim/first_version.hpp
@@ -1,4 +1,5 @@
-/// Controllers of the first version, beside which this one runs in the course of an upgrade.
+/// Emulates controllers of the first version, which run alongside the current version during a
+/// rolling upgrade.
 #pragma once
 
 #include <optional>
@@ -7,9 +8,10 @@
 
 namespace larkroad::sim {
 
-/// What a controller of the first version sends in place of this request; nothing when it does not
-/// send it. It announces and records no version and knows no services. A user's request that a
-/// controller forwards is the user's, and heartbeats and commands are the same in both versions.
-std::optional<transport::Request> as_sent_by_first_version(const transport::Request& request);
+/// Returns the request as a controller of the first version would send it, or nullopt if that
+/// version would not send it. The first version neither announces nor records a version and does
+/// not support services. User requests that a controller forwards are unchanged, and heartbeats and
+/// commands are the same in both versions.
+std::optional<transport::Request> convert_to_first_version(const transport::Request& request);
 
 }  // namespace larkroad::sim
--- a/tests/sim/hosts.hpp
+++ b/tests/sim/hosts.hpp
@@ -20,7 +20,7 @@
 inline constexpr const char* kStoreHost = "store";
 inline constexpr const char* kCloudHost = "cloud";
 inline constexpr const char* kUsersHost = "users";
-/// All machines together, where a partition is meant. A single machine goes by its own name.
+/// All machines together, for use in partitions. A single machine is identified by its own name.
 inline constexpr const char* kWorkersHost = "workers";
 
 inline constexpr const char* kStoreAddress = "10.2.0.1";
--- a/tests/sim/invariant_checker.cpp
+++ b/tests/sim/invariant_checker.cpp
@@ -5,16 +5,17 @@
 namespace larkroad::sim {
 namespace {
 
-/// A job whose queries go unanswered for so long counts as forgotten.
-constexpr Seconds kMaxUnanswered = 75;
-/// A class's largest jobs begin within so long.
-constexpr Seconds kLargestStartWithin = 240;
-/// A job that could be placed waits no longer than this.
-constexpr Seconds kMaxWaitBesideCapacity = 90;
-/// By then, as a part of the workers' lease, whoever gives commands knows of a cancellation.
-constexpr double kCancellationKnownRatio = 1.0 / 4;
-/// One in so many of a class's jobs counts as one of its largest; at least one does.
-constexpr size_t kLargestPart = 10;
+/// A job whose queries go unanswered for longer than this counts as lost.
+constexpr Seconds kMaxUnansweredTime = 75;
+/// The largest jobs of each class start within this time.
+constexpr Seconds kMaxLargestStartDelay = 240;
+/// Longest time that a job may wait although it could be placed.
+constexpr Seconds kMaxPlacementDelay = 90;
+/// Time after which every controller that sends commands knows of a cancellation, as a fraction of
+/// the worker lease.
+constexpr double kCancellationPropagationRatio = 1.0 / 4;
+/// One in this many jobs of a class, and at least one, counts among its largest.
+constexpr size_t kLargestJobsDivisor = 10;
 constexpr double kTolerance = 1e-6;
 
 bool is_accepted(int status) { return status == 200 || status == 201; }
@@ -97,22 +98,23 @@
 
 void InvariantChecker::stage_reported(Seconds now, TrackedJob& job, const std::string& stage,
                                       std::optional<Seconds> requested_at) {
-  constexpr auto kRule = Invariant::stage_does_not_go_back;
+  constexpr auto kInvariant = Invariant::stage_does_not_go_back;
   const std::string& id = job.spec.id;
   if (stage == "done") {
     if (job.completed.size() < job.spec.tasks) {
       violation(now, Invariant::done_means_completed, id);
     }
-    if (job.cancelled_at) violation(now, kRule, id + " was cancelled, then done");
+    if (job.cancelled_at) violation(now, kInvariant, id + " was reported cancelled, then done");
     job.reported_done = true;
-    if (!job.over_at) job.over_at = now;
+    if (!job.ended_at) job.ended_at = now;
   } else if (stage == "withdrawn") {
-    if (!job.cancellation_requested) violation(now, kRule, id + " was cancelled by nobody");
-    if (job.reported_done) violation(now, kRule, id + " was done, then cancelled");
+    if (!job.cancellation_requested)
+      violation(now, kInvariant, id + " was reported cancelled without a request");
+    if (job.reported_done) violation(now, kInvariant, id + " was reported done, then cancelled");
     if (!job.cancelled_at) job.cancelled_at = now;
-    if (!job.over_at) job.over_at = now;
-  } else if (job.over_at && (!requested_at || *requested_at >= *job.over_at)) {
-    violation(now, kRule, id + " was over, then " + stage);
+    if (!job.ended_at) job.ended_at = now;
+  } else if (job.ended_at && (!requested_at || *requested_at >= *job.ended_at)) {
+    violation(now, kInvariant, id + " was reported ended, then " + stage);
   }
 }
 
@@ -129,7 +131,7 @@
     job->accepted = true;
     stage_reported(now, *job, stage, requested_at);
   } else if (job->accepted && (status == 400 || status == 422)) {
-    violation(now, Invariant::accepted_job_is_known, id + " is refused again");
+    violation(now, Invariant::accepted_job_is_known, id + " was accepted, then rejected");
   }
 }
 
@@ -142,7 +144,7 @@
     return;
   }
   if (status == 404 && job->accepted) {
-    violation(now, Invariant::accepted_job_is_known, id + " is not known");
+    violation(now, Invariant::accepted_job_is_known, id + " was accepted, then reported unknown");
   }
   if (status != 200) return;
   job->unanswered_since.reset();
@@ -162,7 +164,8 @@
   check_quota(now, id, job->spec);
   check_constraints(now, id, job->spec, location);
   if (job->cancelled_at && now > *job->cancelled_at + settings_.cancellation_limit_s) {
-    violation(now, Invariant::cancelled_job_stops, id.text() + " starts");
+    violation(now, Invariant::cancelled_job_stops,
+              id.text() + " started after the cancellation limit");
   }
 }
 
@@ -221,7 +224,7 @@
 void InvariantChecker::launch_sent(Seconds now, const std::string& id) {
   const TrackedJob* job = find(id);
   if (job == nullptr || !job->cancelled_at) return;
-  if (now > *job->cancelled_at + settings_.lease_s * kCancellationKnownRatio) {
+  if (now > *job->cancelled_at + settings_.lease_s * kCancellationPropagationRatio) {
     violation(now, Invariant::no_launch_after_cancellation, id);
   }
 }
@@ -238,17 +241,17 @@
   TrackedJob* job = find(id);
   if (job == nullptr) return;
   auto& since = job->placement_possible_since;
-  if (!possible || !job->is_wanted() || job->reported_done || now < faults_end_at_) {
+  if (!possible || !job->is_active() || job->reported_done || now < faults_end_at_) {
     since.reset();
   } else if (!since) {
     since = now;
-  } else if (now - *since > kMaxWaitBesideCapacity) {
+  } else if (now - *since > kMaxPlacementDelay) {
     violation(now, Invariant::no_waiting_beside_free_capacity, id);
     since = now;
   }
 }
 
-// ---------------------------------------------------------------- what lasts too long
+// ---------------------------------------------------------------- deadlines
 
 void InvariantChecker::check_deadlines(Seconds now) {
   check_answers(now);
@@ -257,10 +260,10 @@
 
 void InvariantChecker::check_answers(Seconds now) {
   for (auto& [id, job] : jobs_) {
-    if (!job.accepted || !job.unanswered_since || job.reported_unanswered) continue;
-    if (now - std::max(*job.unanswered_since, faults_end_at_) > kMaxUnanswered) {
-      job.reported_unanswered = true;
-      violation(now, Invariant::accepted_job_is_known, id + " has had no answer");
+    if (!job.accepted || !job.unanswered_since || job.unanswered_reported) continue;
+    if (now - std::max(*job.unanswered_since, faults_end_at_) > kMaxUnansweredTime) {
+      job.unanswered_reported = true;
+      violation(now, Invariant::accepted_job_is_known, id + " has unanswered status queries");
     }
   }
 }
@@ -270,21 +273,23 @@
     const TrackedJob* job = find(id.job);
     if (job == nullptr || !job->cancelled_at) continue;
     if (now <= *job->cancelled_at + settings_.cancellation_limit_s) continue;
-    const bool any_awake = std::any_of(locations.begin(), locations.end(), [&](const auto& entry) {
-      return !hung_machines_.contains(entry.first);
-    });
-    if (any_awake) violation(now, Invariant::cancelled_job_stops, id.text() + " is still there");
+    const bool any_responsive =
+        std::any_of(locations.begin(), locations.end(),
+                    [&](const auto& entry) { return !hung_machines_.contains(entry.first); });
+    if (any_responsive)
+      violation(now, Invariant::cancelled_job_stops,
+                id.text() + " still exists after the cancellation limit");
   }
 }
 
-// ---------------------------------------------------------------- the end of the run
+// ---------------------------------------------------------------- end of the run
 
 void InvariantChecker::finish(Seconds now) {
   if (started_ == 0) violation(now, Invariant::tasks_run, "no task was started");
   std::map<std::string, std::vector<const TrackedJob*>> by_class;
   std::map<std::string, std::vector<const TrackedJob*>> by_team;
   for (const auto& [id, job] : jobs_) {
-    if (!job.is_wanted()) continue;
+    if (!job.is_active()) continue;
     by_class[job.spec.job_class].push_back(&job);
     by_team[job.spec.team].push_back(&job);
   }
@@ -300,8 +305,9 @@
   const auto served = std::count_if(jobs.begin(), jobs.end(),
                                     [](const TrackedJob* job) { return job->is_served(); });
   if (static_cast<size_t>(served) * 2 < jobs.size()) {
-    violation(now, Invariant::half_of_jobs_served,
-              std::to_string(served) + " of " + std::to_string(jobs.size()) + " of " + group);
+    violation(
+        now, Invariant::half_of_jobs_served,
+        std::to_string(served) + " of " + std::to_string(jobs.size()) + " jobs served in " + group);
   }
 }
 
@@ -310,12 +316,13 @@
   std::stable_sort(jobs.begin(), jobs.end(), [](const TrackedJob* a, const TrackedJob* b) {
     return a->spec.tasks > b->spec.tasks;
   });
-  jobs.resize(std::max<size_t>(1, jobs.size() / kLargestPart));
-  check_half_served(now, "the largest of class " + job_class, jobs);
+  jobs.resize(std::max<size_t>(1, jobs.size() / kLargestJobsDivisor));
+  check_half_served(now, "the largest jobs of class " + job_class, jobs);
   for (const TrackedJob* job : jobs) {
-    if (job->started_at.value_or(now) - job->submitted_at > kLargestStartWithin) {
-      violation(now, Invariant::large_jobs_start_in_time,
-                job->spec.id + " of " + std::to_string(job->spec.tasks) + " tasks");
+    if (job->started_at.value_or(now) - job->submitted_at > kMaxLargestStartDelay) {
+      violation(
+          now, Invariant::large_jobs_start_in_time,
+          job->spec.id + " with " + std::to_string(job->spec.tasks) + " tasks started too late");
     }
   }
 }
--- a/tests/sim/invariant_checker.hpp
+++ b/tests/sim/invariant_checker.hpp
@@ -1,4 +1,4 @@
-/// The protocol's rules, checked over a whole simulated run.
+/// Checks the invariants of the protocol over a full simulated run.
 #pragma once
 
 #include <map>
@@ -19,23 +19,23 @@
 using transport::Seconds;
 
 enum class Invariant {
-  one_instance_per_task,           // a task runs on one machine at most
-  team_quota,                      // a team's tasks stay within its limit
-  placement_constraints,           // type, zone, spot, one zone, spread
-  cancelled_job_stops,             // within the limit on cancellations
-  no_launch_after_cancellation,    // once whoever leads must know of it
-  accepted_job_is_known,           // an accepted job is not forgotten, and queries are answered
-  only_submitted_jobs_exist,       // no answer tells of a job that nobody submitted
-  invalid_job_refused,             // a submission that can never run is not accepted
-  done_means_completed,            // a job that is told to be done has completed all its tasks
-  stage_does_not_go_back,          // what is over stays over, as it was told
-  tasks_run,                       // something ran in this run at all
-  half_of_jobs_served,             // of each team and class, and of the largest of each class
-  large_jobs_start_in_time,        // the largest of each class begin within a bound
-  no_waiting_beside_free_capacity  // a job that could be placed is placed soon
+  one_instance_per_task,           // a task runs on at most one machine
+  team_quota,                      // the running tasks of a team stay within its limit
+  placement_constraints,           // machine type, zone, spot, one_zone, spread
+  cancelled_job_stops,             // within the configured cancellation limit
+  no_launch_after_cancellation,    // from the time when every leader must know of it
+  accepted_job_is_known,           // an accepted job is never lost, and queries are answered
+  only_submitted_jobs_exist,       // no response reports a job that nobody submitted
+  invalid_job_refused,             // a job that can never run is not accepted
+  done_means_completed,            // all tasks of a job reported as done have completed
+  stage_does_not_go_back,          // a job reported as ended stays in that stage
+  tasks_run,                       // at least one task ran
+  half_of_jobs_served,             // per team and class, and of the largest of each class
+  large_jobs_start_in_time,        // the largest jobs of each class start within a bound
+  no_waiting_beside_free_capacity  // a job that could be placed is placed in time
 };
 
-/// The name of a rule, for messages of failed tests.
+/// The name of an invariant, for failure messages.
 const char* to_string(Invariant invariant);
 
 struct Violation {
@@ -46,8 +46,8 @@
 
 std::ostream& operator<<(std::ostream& out, const Violation& violation);
 
-/// Is told what happens on the machines and what users are answered, and collects violations. It
-/// knows nothing of the controllers' own state. Times are those of the simulation.
+/// Receives the events on the machines and the responses to users, and collects violations. It does
+/// not look at the internal state of the controllers. All times are simulated times.
 class InvariantChecker {
  public:
   explicit InvariantChecker(const Settings& settings) : settings_(settings) {}
@@ -59,36 +59,37 @@
     bool spot = false;
   };
 
-  /// What users do.
+  /// User actions.
   void job_submitted(const JobSpec& spec, Seconds now = 0);
-  /// A submission that must be refused: its job fits no machine, or lacks a field.
+  /// A submission that must be rejected: its job fits no machine or lacks a field.
   void invalid_job_submitted(const std::string& id) { invalid_jobs_.insert(id); }
   void status_requested(Seconds now, const std::string& id);
   void polling_stopped(const std::string& id);
   void cancellation_requested(const std::string& id);
 
-  /// What users are answered. `requested_at`: when the request was sent, if that was earlier. The
-  /// answer to a request that was under way while its user was told of the job's end by another one
-  /// may tell of the time before.
+  /// Responses to users. `requested_at` is the time when the request was sent, if it was earlier.
+  /// If another response told the user of the job's end while this request was in flight, its
+  /// response may still report the earlier state.
   void submission_answered(Seconds now, const std::string& id, int status, const std::string& stage,
                            std::optional<Seconds> requested_at = std::nullopt);
   void status_answered(Seconds now, const std::string& id, int status, const std::string& stage,
                        std::optional<Seconds> requested_at = std::nullopt);
 
-  /// What happens on the machines. A task is on its machine from having its image to its end.
+  /// Events on the machines. A task counts as on its machine from when its image has been fetched
+  /// until it ends.
   void task_started(Seconds now, const TaskId& id, const Location& location);
   void task_left_machine(const TaskId& id, const std::string& machine);
   void task_completed(const TaskId& id);
-  /// A controller has sent a launch of the job.
+  /// A controller has sent a command to launch a task of the job.
   void launch_sent(Seconds now, const std::string& id);
-  /// While a machine hangs its tasks are there, but do not go on.
+  /// While a machine hangs, its tasks stay on it but make no progress.
   void set_hung(const std::string& machine, bool hung);
-  /// Whether the job lacks tasks that could be placed now, within its team's limit.
+  /// Whether the job has unplaced tasks that could be placed now within its team's limit.
   void placement_possible(Seconds now, const std::string& id, bool possible);
 
-  /// From then on machines, networks and services work without faults.
+  /// Sets the time after which no more faults occur.
   void faults_end_at(Seconds now) { faults_end_at_ = now; }
-  /// Called now and then: finds what lasts too long.
+  /// Called periodically; reports violations of time limits.
   void check_deadlines(Seconds now);
   /// Called once, at the end of the run.
   void finish(Seconds now = 0);
@@ -103,17 +104,17 @@
     bool accepted = false;
     bool cancellation_requested = false;
     bool reported_done = false;
-    bool reported_unanswered = false;
+    bool unanswered_reported = false;
     std::set<std::uint32_t> completed;
     Seconds submitted_at = 0;
-    std::optional<Seconds> cancelled_at;  // when its user was first told so
-    std::optional<Seconds> over_at;       // when its user was first told of any end
+    std::optional<Seconds> cancelled_at;  // when the user was first told
+    std::optional<Seconds> ended_at;      // when the user was first told of any final stage
     std::optional<Seconds> started_at;
     std::optional<Seconds> placement_possible_since;
-    /// The first query since the last answer, while it has none.
+    /// Time of the first query since the last response, while it is unanswered.
     std::optional<Seconds> unanswered_since;
 
-    bool is_wanted() const { return accepted && !cancellation_requested; }
+    bool is_active() const { return accepted && !cancellation_requested; }
     bool is_served() const {
       return spec.is_service() ? started_at.has_value() : completed.size() == spec.tasks;
     }
--- a/tests/sim/long_jobs.hpp
+++ b/tests/sim/long_jobs.hpp
@@ -1,5 +1,5 @@
-/// A few jobs whose tasks nothing but a stop or an expired lease ends, for tests that look at what
-/// runs at a time.
+/// A few jobs whose tasks run until they are stopped or the worker's lease expires, for tests that
+/// check which tasks are running at a given time.
 #pragma once
 
 #include "sim/world.hpp"
@@ -8,13 +8,13 @@
 
 inline constexpr size_t kLongJobs = 8;
 
-/// Submits job-100 to job-107, of one task each.
+/// Submits job-100 to job-107 with one task each.
 void submit_long_jobs(World& world, Seconds run_time = 200);
 
-/// How many of them have a running task.
+/// Number of long jobs that have a running task.
 size_t running_long_jobs(const World& world);
 
-/// Partitions the controller from the other controllers.
+/// Partitions the controller from all other controllers.
 void partition_from_peers(World& world, size_t controller, Seconds length);
 
 }  // namespace larkroad::sim
--- a/tests/sim/network.cpp
+++ b/tests/sim/network.cpp
@@ -10,11 +10,11 @@
 namespace larkroad::sim {
 namespace {
 
-/// Of all requests; the others go over a connection that is open already.
+/// Fraction of requests that open a new connection; the others reuse an open one.
 constexpr double kNewConnectionRate = 0.3;
 constexpr Seconds kMinLatency = 0.001;
 constexpr Seconds kLatencySpread = 0.004;
-constexpr Seconds kSlowResponseSpread = 3.9;  // less than workers wait for an answer
+constexpr Seconds kSlowResponseSpread = 3.9;  // shorter than the workers' heartbeat timeout
 constexpr Seconds kMinDuplicateDelay = 1;
 constexpr int kDuplicateLeases = 3;
 
@@ -116,7 +116,7 @@
   for (const auto& worker : world_.workers) {
     if (worker->name == host) return worker->zone;
   }
-  return "";  // the store, the cloud and the users are reached from every zone
+  return "";  // the store, the cloud and the users are reachable from every zone
 }
 
 // ---------------------------------------------------------------- sending
@@ -165,7 +165,7 @@
                                              bool new_connection, Seconds latency) {
   if (is_partitioned(from, to)) {
     if (new_connection) return std::nullopt;
-    return partition_end(from, to) + latency;  // held back until nobody waits for the answer
+    return partition_end(from, to) + latency;  // delivered after the partition
   }
   const FaultOptions& faults = world_.faults;
   const Seconds now = world_.events.now();
@@ -220,7 +220,7 @@
     deliver_to_host(from, address, request, std::move(respond));
     return;
   }
-  const auto sent = as_sent_by_first_version(request);
+  const auto sent = convert_to_first_version(request);
   if (sent) {
     deliver_to_host(from, address, *sent, std::move(respond));
   } else {
@@ -278,11 +278,11 @@
       respond(response);
     };
   }
-  controller.handle(address, request, observed(to, from, request, std::move(respond)));
+  controller.handle(address, request, with_observer(to, from, request, std::move(respond)));
 }
 
-Respond Network::observed(const std::string& controller, const std::string& receiver,
-                          const Request& request, Respond respond) {
+Respond Network::with_observer(const std::string& controller, const std::string& receiver,
+                               const Request& request, Respond respond) {
   if (!observer_) return respond;
   return [this, controller, receiver, request,
           respond = std::move(respond)](const Response& response) {
