--- a/tests/sim/scenario.hpp
+++ b/tests/sim/scenario.hpp
@@ -1,4 +1,4 @@
-/// A whole simulated run with faults at set times, and what must hold of every one of them.
+/// Full simulated runs with faults at fixed times, and the checks that apply to every run.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -13,11 +13,11 @@
 namespace larkroad::sim {
 
 struct Scenario {
-  /// Stays the same for good: digests of runs are compared by it.
+  /// Digests of runs are compared by name, so names that digest.cpp lists must not change.
   const char* name;
-  /// Faults all through the run.
+  /// Random faults throughout the run.
   FaultOptions faults;
-  /// Schedules jobs and faults before the run begins.
+  /// Schedules jobs and faults before the run starts.
   std::function<void(World&)> schedule;
   int random_jobs = 60;
 };
@@ -26,30 +26,30 @@
   return out << scenario.name;
 }
 
-/// No scenario has faults for longer.
+/// All faults of every scenario end by this time.
 constexpr Seconds kFaultsEnd = 160;
 constexpr Seconds kScenarioLength = 450;
 
-/// Fails for each violation of a rule.
+/// Adds a test failure for each invariant violation.
 void expect_no_violations(const World& world);
 
-/// Acts at that time on the controller that leads then, if one does.
+/// Runs the action at `when` with the index of the current leader; does nothing if there is none.
 void with_leader(World& world, Seconds when, std::function<void(size_t leader)> action);
 
-/// Acts on each machine with that probability.
+/// Runs the action on each live machine with the given probability.
 void for_random_workers(World& world, double probability,
                         const std::function<void(FakeWorker&)>& action);
 
 /// Partitions the machine from every controller.
 void partition_machine(World& world, const std::string& machine, Seconds length);
 
-/// Plays the scenario in a new world, from the start to its end.
+/// Runs the scenario from start to end in a newly created world.
 void run_scenario(World& world, const Scenario& scenario);
 
-/// Plays it and fails for each violation of a rule and for a job that is not over in the end.
+/// Runs the scenario and adds test failures for invariant violations and unfinished jobs.
 void run_and_verify(const Scenario& scenario, std::uint64_t seed);
 
-/// Scenarios of the tests, which other programs can play as well.
+/// Scenario tables of the tests, also used by larkroad_digest.
 std::span<const Scenario> single_fault_scenarios();
 std::span<const Scenario> relay_scenarios();
 std::span<const Scenario> combined_failure_scenarios();
--- a/tests/sim/simulated_controller.cpp
+++ b/tests/sim/simulated_controller.cpp
@@ -14,7 +14,7 @@
 constexpr int kCloudPort = 8443;
 constexpr int kPeerPortNumber = 8081;
 
-/// A process's own clock: it drifts, and its timers end with the process.
+/// The clock of one process. It drifts, and its timers do not fire after the process has ended.
 class ProcessClock : public transport::Clock {
  public:
   ProcessClock(World& world, SimulatedController& host, std::shared_ptr<bool> alive, double drift)
@@ -111,7 +111,7 @@
   settings_.next_store_limits = settings_.store_limits;
 }
 
-void SimulatedController::set_present_version(const StoreLimits& next_store_limits) {
+void SimulatedController::set_current_version(const StoreLimits& next_store_limits) {
   first_version_ = false;
   settings_.next_store_limits = next_store_limits;
 }
--- a/tests/sim/simulated_users.cpp
+++ b/tests/sim/simulated_users.cpp
@@ -134,7 +134,7 @@
          if (answered && (response.status == 200 || response.status == 201)) {
            stages_[spec.id] = stage_in(response);
            world_.events.schedule_at(now + kPollInterval, [this, id = spec.id] { poll(id); });
-           // A repetition may come at any later time.
+           // A submission may be repeated at any later time.
            if (world_.random_fraction() < 0.1) {
              world_.events.schedule_at(now + 60 * world_.random_fraction(),
                                        [this, spec] { send_submission(spec, kNoRetries); });
@@ -164,7 +164,7 @@
 }
 
 void SimulatedUsers::schedule_next_poll(const std::string& id) {
-  // Users that know the end still ask now and then.
+  // Users sometimes keep polling after the job has ended.
   if (is_final(stages_[id]) && world_.random_fraction() >= 0.8) {
     world_.invariants.polling_stopped(id);
     return;
@@ -259,7 +259,7 @@
        [this, expected, id](Outcome outcome, const Response& response) {
          if (outcome != Outcome::answered) return;
          world_.invariants.submission_answered(world_.events.now(), id, response.status, "");
-         // What cannot be known yet is answered 503 with the time to come back.
+         // If the controller cannot decide yet, it responds 503 with a retry delay.
          const bool retry_later = response.status == 503 && response.retry_after_s > 0;
          EXPECT_TRUE(response.status == expected || retry_later) << response.status << " " << id;
        });
--- a/tests/sim/simulated_users.hpp
+++ b/tests/sim/simulated_users.hpp
@@ -15,38 +15,38 @@
 
 class World;
 
-/// The body of a submission, as users send it.
+/// The request body of a submission.
 std::string submission_body(const JobSpec& spec);
 
-/// Models users who retry what failed, at any controller; poll each job until they know its end,
-/// and sometimes beyond; repeat submissions; and ask for jobs that do not exist. Everything that
-/// they do and are answered is passed to the checker. It does not model authentication.
+/// Models users who retry failed requests at any controller, poll each job until it has ended and
+/// sometimes longer, repeat submissions, and query jobs that do not exist. All requests and
+/// responses are passed to the invariant checker. It does not model authentication.
 class SimulatedUsers {
  public:
   explicit SimulatedUsers(World& world) : world_(world) {}
 
   void submit(const JobSpec& spec, Seconds when);
-  /// Jobs of random shapes at random times of that period; some of them are cancelled.
+  /// Submits random jobs at random times within the period; some of them are cancelled.
   void submit_random_jobs(int jobs, Seconds period);
   void cancel(const std::string& id);
-  /// Cancels so many running jobs at once; their machines hang for so long.
+  /// Cancels up to `count` running jobs almost simultaneously; their machines hang for `hang`.
   void cancel_running_jobs(int count, Seconds hang = 0);
-  /// Submissions of jobs that are not over are repeated, jobs that are over are cancelled, and
-  /// submissions come that fit no machine or lack a field.
+  /// Repeats submissions, cancels jobs that are already done, and submits jobs that fit no machine
+  /// or lack a field.
   void send_irregular_requests(Seconds period);
 
-  /// What a submission said; nullptr when the job was never submitted.
+  /// The submitted job, or nullptr if there is none with this ID.
   const JobSpec* spec(const std::string& id) const;
   const std::map<std::string, JobSpec>& submitted() const { return submitted_; }
-  /// Whether the job's user has been told of any stage of it.
+  /// Whether the user has received any stage of the job.
   bool is_acknowledged(const std::string& id) const { return stages_.contains(id); }
   bool all_jobs_finished() const { return unfinished_jobs().empty(); }
-  /// Jobs whose users know of no end, each with its latest stage.
+  /// Jobs that were not reported as ended, each with its latest reported stage.
   std::string unfinished_jobs() const;
 
  private:
   JobSpec random_job();
-  /// Sends the request to a controller at random.
+  /// Sends the request to a random controller.
   void send(Request request, Seconds timeout, OnReply on_reply);
   void send_submission(const JobSpec& spec, int retries_left);
   void send_cancellation(const std::string& id, int retries_left);
@@ -59,7 +59,7 @@
 
   World& world_;
   std::map<std::string, JobSpec> submitted_;
-  std::map<std::string, std::string> stages_;  // the latest that each user was told
+  std::map<std::string, std::string> stages_;  // latest reported stage by job ID
   int next_job_ = 0;
 };
 
--- a/tests/sim/task_runtime.cpp
+++ b/tests/sim/task_runtime.cpp
@@ -72,8 +72,9 @@
     if (worker->terminated) continue;
     const auto tasks = worker->tasks();
     for (const auto& [key, task] : tasks) {
-      const bool same = spec.is_gang() ? key.first.job == id.job : key.first == id;
-      if (same && key.second == attempt && task.stage == Stage::running) worker->exit(key, "done");
+      const bool is_affected = spec.is_gang() ? key.first.job == id.job : key.first == id;
+      if (is_affected && key.second == attempt && task.stage == Stage::running)
+        worker->exit(key, "done");
     }
   }
 }
@@ -81,9 +82,9 @@
 void TaskRuntime::on_gang_member_lost(const std::string& job, std::uint64_t attempt) {
   const JobSpec& spec = *world_.users.spec(job);
   if (!spec.is_gang() || spec.tasks == 1) return;
-  const Seconds noticed =
+  const Seconds detected_at =
       world_.events.now() + world_.settings.gang_peer_s * world_.random_fraction();
-  world_.events.schedule_at(noticed, [this, job, attempt] { exit_gang_members(job, attempt); });
+  world_.events.schedule_at(detected_at, [this, job, attempt] { exit_gang_members(job, attempt); });
 }
 
 void TaskRuntime::exit_gang_members(const std::string& job, std::uint64_t attempt) {
--- a/tests/sim/waiting_job_monitor.cpp
+++ b/tests/sim/waiting_job_monitor.cpp
@@ -13,7 +13,8 @@
 
 void WaitingJobMonitor::observe() {
   for (const auto& [id, spec] : world_.users.submitted()) {
-    // What fails everywhere is tried now and then; its test looks at the times of that.
+    // Jobs that fail on every machine are retried only occasionally; a separate test checks the
+    // times.
     if (world_.tasks.faulty_jobs.contains(id) || !world_.users.is_acknowledged(id)) continue;
     world_.invariants.placement_possible(world_.events.now(), id, could_be_placed(spec));
   }
@@ -31,7 +32,7 @@
   for (const auto& [zone, slots] : free_slots(spec)) {
     const bool in_other_zone = !usage.zones.empty() && !usage.zones.contains(zone);
     if (spec.one_zone && !in_other_zone && slots >= wanted) return true;
-    // A job that is spread has half of its tasks in one zone at most.
+    // A job with `spread` may have at most half of its tasks in one zone.
     total += spec.spread ? std::min(slots, half - std::min(half, usage.zones[zone])) : slots;
   }
   return !spec.one_zone && total >= wanted;
@@ -78,14 +79,14 @@
 
 coordination::Resources WaitingJobMonitor::free_capacity(const FakeWorker& worker,
                                                          const protocol::MachineType& type) const {
-  auto room = coordination::capacity_of(type);
+  auto available = coordination::capacity_of(type);
   for (const auto& [key, task] : worker.tasks()) {
     const JobSpec* spec = world_.users.spec(key.first.job);
     if (task.stage != FakeWorker::Stage::exited && spec != nullptr) {
-      room -= coordination::needs_of(*spec);
+      available -= coordination::needs_of(*spec);
     }
   }
-  return room;
+  return available;
 }
 
 }  // namespace larkroad::sim
--- a/tests/sim/waiting_job_monitor.hpp
+++ b/tests/sim/waiting_job_monitor.hpp
@@ -1,4 +1,4 @@
-/// Finds jobs that wait although they could be placed.
+/// Detects jobs that wait although they could be placed.
 #pragma once
 
 #include <cstdint>
@@ -11,28 +11,29 @@
 
 namespace larkroad::sim {
 
-/// Compares what users wait for with what is free on the machines, from outside of the controllers,
-/// and passes the result to the checker. Where it counts free capacity it is careful: what is about
-/// to be free, or may be had by a preemption, does not count.
+/// Compares waiting jobs with the free capacity of the machines, independently of the controllers,
+/// and passes the result to the invariant checker. The estimate of free capacity is conservative:
+/// capacity that is about to become free or could be freed by preemption does not count.
 class WaitingJobMonitor {
  public:
   explicit WaitingJobMonitor(World& world) : world_(world) {}
 
-  /// Costs much; what it looks for lasts for minutes.
+  /// Expensive; infrequent calls suffice because the condition it detects lasts for minutes.
   void observe();
 
  private:
-  /// Tasks on the machines that have not exited.
+  /// Resources and number of tasks on the machines that have not exited.
   struct Usage {
-    coordination::Resources team;                // of the job's team
+    coordination::Resources team;                // resources used by the job's team
     std::map<std::string, std::uint32_t> zones;  // tasks of the job, by zone
     std::uint32_t placed = 0;                    // tasks of the job
   };
-  /// Whether all that the job lacks could be placed now: one task of an array, all of a gang.
+  /// Whether the job could be placed now: one more task of an array, or all remaining tasks of a
+  /// gang.
   bool could_be_placed(const JobSpec& spec) const;
   Usage usage_of(const JobSpec& spec) const;
   bool is_within_limit(const JobSpec& spec, const Usage& usage, std::uint32_t tasks) const;
-  /// How many tasks of the job fit beside what runs, by zone.
+  /// Number of tasks of the job that fit in the free capacity, by zone.
   std::map<std::string, std::uint32_t> free_slots(const JobSpec& spec) const;
   coordination::Resources free_capacity(const FakeWorker& worker,
                                         const protocol::MachineType& type) const;
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -5,10 +5,10 @@
 namespace larkroad::sim {
 namespace {
 
-/// So long that no run outlasts it.
+/// Later than the end of any run.
 constexpr Seconds kChecksEnd = 1000;
 constexpr Seconds kDeadlineCheckInterval = 0.5;
-constexpr Seconds kWaitingJobsInterval = 2;
+constexpr Seconds kWaitingJobCheckInterval = 2;
 constexpr Seconds kFirstVersionDowntime = 0.1;
 
 Settings simulation_settings(const FaultOptions& faults) {
@@ -43,7 +43,8 @@
 }
 
 void World::schedule_checks() {
-  for (Seconds when = kWaitingJobsInterval; when < kChecksEnd; when += kWaitingJobsInterval) {
+  for (Seconds when = kWaitingJobCheckInterval; when < kChecksEnd;
+       when += kWaitingJobCheckInterval) {
     events.schedule_at(when, [this] { waiting_jobs_.observe(); });
   }
   for (Seconds when = kDeadlineCheckInterval; when < kChecksEnd; when += kDeadlineCheckInterval) {
@@ -61,7 +62,7 @@
 }
 
 void World::upgrade_controller(size_t controller, Seconds downtime) {
-  hosts_[controller]->set_present_version(settings.next_store_limits);
+  hosts_[controller]->set_current_version(settings.next_store_limits);
   hosts_[controller]->crash(downtime);
 }
 
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -1,6 +1,6 @@
-/// A simulated deployment: three real controllers against stand-ins for the key-value store, the
-/// cloud, the workers and the users. Time is simulated and randomness is seeded, so that a run
-/// repeats exactly. Scenarios and tests are the callers.
+/// A simulated deployment: three real controllers with fakes of the key-value store, the cloud, the
+/// workers and the users. Time is simulated and random numbers are seeded, so runs are exactly
+/// reproducible.
 #pragma once
 
 #include <cstdint>
@@ -27,9 +27,9 @@
 
 namespace larkroad::sim {
 
-/// Owns the parts of the deployment, which refer to each other through it. Every random number of a
-/// run is drawn from its one generator, in the order of events: a change of that order changes
-/// every run.
+/// Owns the components of the deployment, which access each other through it. All random numbers of
+/// a run come from one generator in the order of events, so a change to that order changes every
+/// run.
 class World {
  public:
   World(std::uint64_t seed, FaultOptions faults, SendObserver observer = {});
@@ -39,32 +39,32 @@
 
   void run(Seconds until) { events.run_until(until); }
 
-  /// Ends the controller's process, which starts anew after the downtime.
+  /// Ends the controller's process, which restarts after the downtime.
   void crash(size_t controller, Seconds downtime);
-  /// The controller comes back as the first version from its next start on: it announces and
-  /// records no version, knows no services, and keeps to the present limits of the store alone.
+  /// Restarts the controller as the first version: it neither announces nor records a version, does
+  /// not support services, and observes only the current store limits.
   void run_first_version(size_t controller);
-  /// Ends the controller, which comes back with the present version.
+  /// Ends the controller, which restarts as the current version after the downtime.
   void upgrade_controller(size_t controller, Seconds downtime);
-  /// The process stands still while its clocks run on.
+  /// Suspends the process while its clocks continue.
   void pause_controller(size_t controller, Seconds length);
-  /// Partitions it from the key-value store and the other controllers, but not from the workers.
+  /// Partitions it from the key-value store and the other controllers, but not from workers.
   void isolate_controller(size_t controller, Seconds length);
 
-  /// The controller that leads; kControllers when none does.
+  /// Index of the current leader, or kControllers if there is none.
   size_t leader() const;
-  coordination::Controller& controller(size_t index) { return hosts_[index]->process(); }
+  coordination::Controller& controller(size_t index) { return hosts_[index]->controller(); }
   SimulatedController& host(size_t index) { return *hosts_[index]; }
   bool is_up(size_t controller) const { return hosts_[controller]->is_up(); }
   size_t terminated_machines() const;
 
-  /// Carries a committed transaction out once more; returns its status.
+  /// Sends a committed transaction to the store again and returns the response status.
   int replay_commit(const std::pair<std::string, Request>& transaction);
 
-  /// Acts now, or when the host, if it is a controller, is no longer paused.
+  /// Runs the action now or, if the host is a paused controller, when it resumes.
   void when_resumed(const std::string& host, std::function<void()> action);
   bool is_first_version(const std::string& host) const;
-  /// From 0 up to, but not including, 1.
+  /// Uniformly distributed in [0, 1).
   double random_fraction() { return std::uniform_real_distribution<>(0, 1)(random); }
 
   Settings settings;
--- a/tests/single_fault_scenarios_test.cpp
+++ b/tests/single_fault_scenarios_test.cpp
@@ -1,4 +1,4 @@
-// Whole runs of three controllers with faults of one kind each.
+// Full simulated runs of three controllers, each with one kind of fault.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -9,9 +9,9 @@
 namespace {
 
 const Scenario kSingleFaults[] = {
-    {"quiet", {}, [](World&) {}},
+    {"no_faults", {}, [](World&) {}},
     {"lost_answers", {.lost_responses = 0.03, .cancelled_jobs = 0.2}, [](World&) {}},
-    {"late_requests",
+    {"delayed_requests",
      {.lost_responses = 0.01, .delayed_requests = 0.02, .cancelled_jobs = 0.3},
      [](World&) {}},
     {"leader_crashes",
@@ -24,7 +24,7 @@
          with_leader(world, when, [&world](size_t leader) { world.crash(leader, 4); });
        }
      }},
-    {"leader_restarts_at_once",
+    {"leader_restarts_quickly",
      {.lost_responses = 0.005,
       .delayed_requests = 0.005,
       .max_request_delay = 30,
@@ -34,7 +34,7 @@
          with_leader(world, when, [&world](size_t leader) { world.crash(leader, 0.3); });
        }
      }},
-    {"all_crash",
+    {"all_controllers_crash",
      {.delayed_requests = 0.01, .max_request_delay = 30, .cancelled_jobs = 0.2},
      [](World& world) {
        for (const Seconds when : {40, 90}) {
@@ -51,7 +51,7 @@
          world.events.schedule_at(when + 15, [&world] { world.store.set_outage(false); });
        }
      }},
-    {"outage_and_crash",
+    {"store_outage_and_leader_crash",
      {.lost_responses = 0.002,
       .delayed_requests = 0.005,
       .max_request_delay = 30,
@@ -61,7 +61,7 @@
        world.events.schedule_at(52, [&world] { world.store.set_outage(false); });
        with_leader(world, 44, [&world](size_t leader) { world.crash(leader, 4); });
      }},
-    {"leader_refused_by_state",
+    {"leader_rejected_by_store",
      {.lost_responses = 0.002, .max_request_delay = 30, .cancelled_jobs = 0.4},
      [](World& world) {
        for (const Seconds when : {30, 80}) {
@@ -73,7 +73,7 @@
          });
        }
      }},
-    {"leader_cut_from_state",
+    {"leader_partitioned_from_store",
      {.lost_responses = 0.002,
       .delayed_requests = 0.005,
       .max_request_delay = 30,
@@ -85,7 +85,7 @@
          });
        }
      }},
-    {"leader_cut_from_workers",
+    {"leader_partitioned_from_workers",
      {.lost_responses = 0.002,
       .delayed_requests = 0.005,
       .max_request_delay = 30,
@@ -115,9 +115,9 @@
          });
        }
      }},
-    // Machines out of reach of every controller, for less and for more than their lease; what was
-    // sent to them arrives afterwards.
-    {"machines_cut_off",
+    // Machines are partitioned from every controller, for shorter and longer than their lease.
+    // Requests sent to them on open connections are delivered afterwards.
+    {"machines_partitioned",
      {.lost_responses = 0.01,
       .delayed_requests = 0.02,
       .max_request_delay = 30,
@@ -132,7 +132,7 @@
          });
        }
      }},
-    // More work than the teams' limits allow, urgent work that preempts other work, and failovers.
+    // More jobs than the team limits allow, high-priority jobs that preempt others, and failovers.
     {"crowded",
      {.lost_responses = 0.01, .delayed_requests = 0.005, .max_request_delay = 20},
      [](World& world) {
@@ -141,7 +141,7 @@
          with_leader(world, 20 + 9 * k, [&world](size_t leader) { world.crash(leader, 2); });
        }
      }},
-    {"machines_die_while_leaders_change",
+    {"machines_terminate_during_leader_changes",
      {.lost_responses = 0.002,
       .delayed_requests = 0.005,
       .max_request_delay = 30,
@@ -156,8 +156,8 @@
          with_leader(world, 26 + 10 * k, [&world](size_t leader) { world.crash(leader, 3); });
        }
      }},
-    // Their heartbeats arrive, but neither answers nor commands reach them.
-    {"machines_deaf",
+    // Heartbeats arrive, but neither responses nor commands reach the machines.
+    {"machines_cannot_receive",
      {.lost_responses = 0.005,
       .delayed_requests = 0.005,
       .max_request_delay = 30,
@@ -173,7 +173,7 @@
        }
        with_leader(world, 60, [&world](size_t leader) { world.crash(leader, 3); });
      }},
-    {"late_copies_of_reports",
+    {"duplicated_heartbeats",
      {.lost_responses = 0.005,
       .delayed_requests = 0.005,
       .max_request_delay = 30,
@@ -189,10 +189,10 @@
          });
        }
      }},
-    // Machines are out of reach from before a failover until about when the new leader may take
-    // their leases for expired. New incarnations begin meanwhile, whose heartbeats nobody has
-    // answered.
-    {"cut_off_while_the_leader_changes",
+    // Machines are unreachable from the start of a failover until about the time when the new
+    // leader may treat their leases as expired. Meanwhile new incarnations start whose heartbeats
+    // have not been answered.
+    {"machines_partitioned_during_failover",
      {.max_request_delay = 30, .cancelled_jobs = 0.2},
      [](World& world) {
        world.cloud.capacity = 12;
@@ -201,20 +201,21 @@
          with_leader(world, when, [&world](size_t leader) { world.crash(leader, 1); });
          world.events.schedule_at(when, [&world] {
            for (const auto& worker : world.workers) {
-             if (world.random_fraction() < 0.5) continue;  // so that there is room elsewhere
+             if (world.random_fraction() < 0.5) continue;  // keeps capacity on other machines
              const Seconds length = 18 + 10 * world.random_fraction();
              partition_machine(world, worker->name, length);
              world.network.block_outbound(worker->name, 40);
            }
          });
-         // No machine is released at the moment its lease expires, which would hide the rest.
+         // Prevents machines from being released when their leases expire, which would mask a
+         // failure.
          world.events.schedule_at(when + 28, [&world] {
            for (size_t i = 0; i < kControllers; ++i)
              world.network.partition(controller_name(i), kCloudHost, 14);
          });
        }
      }},
-    {"leader_has_only_its_workers",
+    {"leader_reaches_only_workers",
      {.lost_responses = 0.002,
       .delayed_requests = 0.005,
       .max_request_delay = 30,
@@ -225,7 +226,7 @@
                      [&world](size_t leader) { world.isolate_controller(leader, 35); });
        }
      }},
-    {"node_has_only_its_workers",
+    {"follower_reaches_only_workers",
      {.lost_responses = 0.002,
       .delayed_requests = 0.005,
       .max_request_delay = 30,
@@ -236,8 +237,8 @@
              when, [&world] { world.isolate_controller((world.leader() + 1) % kControllers, 35); });
        }
      }},
-    // Processes and machines are back within a moment, also in the middle of an election.
-    {"back_at_once",
+    // Processes and workers restart almost immediately, also during an election.
+    {"quick_restarts",
      {.lost_responses = 0.005,
       .delayed_requests = 0.01,
       .max_request_delay = 30,
@@ -260,7 +261,7 @@
          });
        }
      }},
-    // A stream of small jobs that never leaves the large ones enough room by itself.
+    // A stream of small jobs that on its own never leaves enough free capacity for the large jobs.
     {"large_jobs_under_load",
      {.lost_responses = 0.002, .delayed_requests = 0.002, .max_request_delay = 30},
      [](World& world) {
@@ -357,9 +358,9 @@
 INSTANTIATE_TEST_SUITE_P(Scenarios, SingleFaultScenario, ::testing::ValuesIn(kSingleFaults),
                          [](const auto& info) { return std::string(info.param.name); });
 
-// The lease of a machine that is gone expires, however many copies of its last heartbeat still
-// arrive. The list of machines, which would tell of the loss, cannot be had.
-TEST(DuplicatedHeartbeats, RenewNoLease) {
+// The lease of a terminated machine expires even if copies of its last heartbeat keep arriving. The
+// cloud is unreachable, so the controllers cannot learn of the loss from the machine list.
+TEST(DuplicatedHeartbeats, DoNotRenewLease) {
   World world(1, {});
   for (int k = 0; k < 3; ++k) {
     JobSpec spec = testing::spec("job-" + std::to_string(100 + k), 1, 4);
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -1,4 +1,4 @@
-// Rolling upgrades: two versions at once, and limits of the store that change on the way.
+// Rolling upgrades: controllers of two versions run together, and store limits change meanwhile.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 
 constexpr StoreLimits kNextLimits{1, 4, 35, 100};
 
-void expect_nothing_refused(const World& world) {
+void expect_no_rejections(const World& world) {
   expect_no_violations(world);
   EXPECT_EQ(world.store.size_refusals, 0u);
 }
@@ -21,71 +21,73 @@
   for (size_t i = 0; i < kControllers; ++i) world.run_first_version(i);
 }
 
-bool knows_services(World& world, size_t i) {
+bool supports_services(World& world, size_t i) {
   return world.controller(i).versions().all_understand(coordination::kServicesVersion);
 }
 
-int status_of_submission(World& world, size_t node, const JobSpec& spec) {
+int submission_status(World& world, size_t controller, const JobSpec& spec) {
   int status = 0;
-  world.controller(node).handle_client({"POST", "/v2/runs", submission_body(spec)},
-                                       [&](const Response& response) { status = response.status; });
+  world.controller(controller)
+      .handle_client({"POST", "/v2/runs", submission_body(spec)},
+                     [&](const Response& response) { status = response.status; });
   world.run(world.events.now() + 2);
   return status;
 }
 
-// ---------------------------------------------------------------- which version each runs
+// ---------------------------------------------------------------- version detection
 
-TEST(Versions, ServicesAreAcceptedOnceAllControllersKnowThem) {
+TEST(Versions, ServicesAreAcceptedOnceAllControllersSupportThem) {
   World world(1, {});
   all_run_first_version(world);
   world.run(10);
   world.upgrade_controller(0, 1);
   world.upgrade_controller(1, 1);
   world.run(20);
-  EXPECT_FALSE(knows_services(world, 0));
-  EXPECT_FALSE(knows_services(world, 1));
-  EXPECT_EQ(status_of_submission(world, 0, service("job-1")), 503);
-  EXPECT_EQ(status_of_submission(world, 0, testing::spec("job-2")), 201)
-      << "other work is accepted";
+  EXPECT_FALSE(supports_services(world, 0));
+  EXPECT_FALSE(supports_services(world, 1));
+  EXPECT_EQ(submission_status(world, 0, service("job-1")), 503);
+  EXPECT_EQ(submission_status(world, 0, testing::spec("job-2")), 201)
+      << "jobs other than services are accepted";
   world.upgrade_controller(2, 1);
   world.run(30);
-  for (size_t i = 0; i < kControllers; ++i) EXPECT_TRUE(knows_services(world, i)) << i;
-  EXPECT_EQ(status_of_submission(world, 0, service("job-1")), 201);
+  for (size_t i = 0; i < kControllers; ++i) EXPECT_TRUE(supports_services(world, i)) << i;
+  EXPECT_EQ(submission_status(world, 0, service("job-1")), 201);
 }
 
-TEST(Versions, AnUnreachableControllersVersionIsReadFromItsRecord) {
+TEST(Versions, VersionOfUnreachableControllerIsReadFromItsRecord) {
   World world(1, {});
   world.run(10);
   world.crash(2, 1000);
   world.crash(0, 1);
   world.run(20);
-  EXPECT_TRUE(knows_services(world, 0));
-  // Without the record it could come back as either version.
+  EXPECT_TRUE(supports_services(world, 0));
+  // Without a version record, the controller could restart as either version.
   World other(1, {});
   other.run_first_version(2);
   other.run(10);
   other.crash(2, 1000);
   other.crash(0, 1);
   other.run(20);
-  EXPECT_FALSE(knows_services(other, 0));
+  EXPECT_FALSE(supports_services(other, 0));
 }
 
-TEST(Versions, TheRecordOfADowngradedControllerDoesNotCount) {
+TEST(Versions, RecordOfDowngradedControllerIsIgnored) {
   World world(1, {});
   world.run(10);
-  ASSERT_EQ(status_of_submission(world, 0, service("job-1")), 201);
+  ASSERT_EQ(submission_status(world, 0, service("job-1")), 201);
   world.run_first_version(2);
   world.run(20);
-  EXPECT_FALSE(knows_services(world, 0));
-  EXPECT_EQ(status_of_submission(world, 0, service("job-2")), 503);
-  EXPECT_EQ(status_of_submission(world, 0, service("job-1")), 200) << "accepted before";
+  EXPECT_FALSE(supports_services(world, 0));
+  EXPECT_EQ(submission_status(world, 0, service("job-2")), 503);
+  EXPECT_EQ(submission_status(world, 0, service("job-1")), 200) << "this job was accepted earlier";
   world.crash(2, 1000);
   world.crash(0, 1);
   world.run(30);
-  EXPECT_FALSE(knows_services(world, 0)) << "its record is of an earlier process";
+  EXPECT_FALSE(supports_services(world, 0))
+      << "the version record was written by an earlier process";
 }
 
-// ---------------------------------------------------------------- upgrades on the way
+// ---------------------------------------------------------------- faults during upgrades
 
 void upgrade_in_order(World& world, std::array<size_t, 3> order) {
   all_run_first_version(world);
@@ -95,8 +97,8 @@
   }
 }
 
-// Services once all are of the present version, and limits of the store that fall.
-void then_submit_services(World& world) {
+// Submits services after all controllers run the current version, and lowers the store limits.
+void submit_services_after_upgrade(World& world) {
   for (int k = 0; k < 5; ++k) {
     const JobSpec spec = service("job-" + std::to_string(10 + k), 2 + static_cast<unsigned>(k));
     world.users.submit(spec, 82 + 4 * k);
@@ -116,16 +118,16 @@
          {.lost_responses = 0.005, .delayed_requests = 0.005, .max_request_delay = 20}),
      [](World& world) {
        upgrade_in_order(world, {0, 1, 2});
-       then_submit_services(world);
+       submit_services_after_upgrade(world);
      }},
     {"last_to_first",
      with_next_limits(
          {.lost_responses = 0.005, .delayed_requests = 0.005, .max_request_delay = 20}),
      [](World& world) {
        upgrade_in_order(world, {2, 1, 0});
-       then_submit_services(world);
+       submit_services_after_upgrade(world);
      }},
-    // Those that crash before their upgrade come back as the first version.
+    // Controllers that crash before their upgrade restart as the first version.
     {"crashes_on_the_way",
      with_next_limits({.lost_responses = 0.005, .delayed_requests = 0.01, .max_request_delay = 20}),
      [](World& world) {
@@ -135,9 +137,9 @@
            world.crash(leader, 0.2 + 3 * world.random_fraction());
          });
        }
-       then_submit_services(world);
+       submit_services_after_upgrade(world);
      }},
-    {"cuts_on_the_way",
+    {"partitions_during_upgrade",
      with_next_limits({.lost_responses = 0.005, .delayed_requests = 0.01, .max_request_delay = 20}),
      [](World& world) {
        upgrade_in_order(world, {0, 2, 1});
@@ -147,7 +149,7 @@
        with_leader(world, 67, [&world](size_t leader) {
          world.network.partition(controller_name(leader), kStoreHost, 12);
        });
-       then_submit_services(world);
+       submit_services_after_upgrade(world);
      }},
     {"relays_of_both_versions",
      with_next_limits({.lost_responses = 0.005,
@@ -161,9 +163,9 @@
        for (const Seconds when : {45, 61, 77}) {
          with_leader(world, when, [&world](size_t leader) { world.crash(leader, 2); });
        }
-       then_submit_services(world);
+       submit_services_after_upgrade(world);
      }},
-    {"machines_lost_on_the_way",
+    {"machines_lost_during_upgrade",
      with_next_limits({.lost_responses = 0.005,
                        .delayed_requests = 0.01,
                        .max_request_delay = 20,
@@ -177,7 +179,7 @@
            }
          });
        }
-       then_submit_services(world);
+       submit_services_after_upgrade(world);
      }},
 };
 
@@ -190,9 +192,10 @@
 INSTANTIATE_TEST_SUITE_P(Scenarios, UpgradeScenario, ::testing::ValuesIn(kUpgradeScenarios),
                          [](const auto& info) { return std::string(info.param.name); });
 
-// ---------------------------------------------------------------- records of larger limits
+// ---------------------------------------------------------------- records written under larger
+// limits
 
-// Jobs that the first version accepted share a record among more tasks than the next limits allow.
+// Jobs accepted by the first version store more tasks per record than the next limits allow.
 class LargeRecords : public ::testing::Test {
  protected:
   LargeRecords() : world(1, with_next_limits({})) {
@@ -202,18 +205,18 @@
   void upgrade_all() {
     for (size_t i = 0; i < kControllers; ++i) world.upgrade_controller(i, 0.5);
   }
-  // Tasks that together fill the team's limit, all of one record.
-  static JobSpec wide(const std::string& id, Seconds run) {
+  // A job whose tasks together use the whole team limit and are stored in one record.
+  static JobSpec job_filling_team_limit(const std::string& id, Seconds run_time) {
     JobSpec spec = testing::spec(id, 64, 0.5);
     spec.memory_gb = 0.5;
-    spec.estimate_s = run;
+    spec.estimate_s = run_time;
     return spec;
   }
   World world;
 };
 
-TEST_F(LargeRecords, WhatIsPlacedWhenTheLimitsFallIsCompleted) {
-  world.users.submit(wide("job-1", 40), 10);
+TEST_F(LargeRecords, JobPlacedBeforeLimitReductionCompletes) {
+  world.users.submit(job_filling_team_limit("job-1", 40), 10);
   world.run(40);
   ASSERT_EQ(world.tasks.running_tasks("job-1"), 64u);
   upgrade_all();
@@ -221,11 +224,11 @@
   with_leader(world, 60, [this](size_t leader) { world.crash(leader, 1); });
   world.run(140);
   EXPECT_TRUE(world.users.all_jobs_finished()) << world.users.unfinished_jobs();
-  expect_nothing_refused(world);
+  expect_no_rejections(world);
 }
 
-TEST_F(LargeRecords, WhatIsPlacedWhenTheLimitsFallIsCancelled) {
-  world.users.submit(wide("job-1", 400), 10);
+TEST_F(LargeRecords, JobPlacedBeforeLimitReductionIsCancelled) {
+  world.users.submit(job_filling_team_limit("job-1", 400), 10);
   world.run(40);
   ASSERT_EQ(world.tasks.running_tasks("job-1"), 64u);
   upgrade_all();
@@ -234,11 +237,11 @@
   world.run(60 + world.settings.cancellation_limit_s);
   EXPECT_EQ(world.tasks.running_tasks("job-1"), 0u);
   EXPECT_TRUE(world.users.all_jobs_finished()) << world.users.unfinished_jobs();
-  expect_nothing_refused(world);
+  expect_no_rejections(world);
 }
 
-TEST_F(LargeRecords, WhatIsLostAfterTheLimitsFallRunsAgain) {
-  world.users.submit(wide("job-1", 30), 10);
+TEST_F(LargeRecords, TasksLostAfterLimitReductionRunAgain) {
+  world.users.submit(job_filling_team_limit("job-1", 30), 10);
   world.run(30);
   ASSERT_EQ(world.tasks.running_tasks("job-1"), 64u);
   upgrade_all();
@@ -249,12 +252,13 @@
   with_leader(world, 70, [this](size_t leader) { world.crash(leader, 1); });
   world.run(240);
   EXPECT_TRUE(world.users.all_jobs_finished()) << world.users.unfinished_jobs();
-  expect_nothing_refused(world);
+  expect_no_rejections(world);
 }
 
-// All tasks of a gang are recorded at once, which the old layout does not allow any more.
-TEST_F(LargeRecords, AGangThatHasNotStartedGetsNewShards) {
-  world.users.submit(wide("job-1", 45), 10);
+// All tasks of a gang are recorded at once, which the old record layout no longer allows under the
+// new limits.
+TEST_F(LargeRecords, GangThatHasNotStartedGetsNewShards) {
+  world.users.submit(job_filling_team_limit("job-1", 45), 10);
   JobSpec gang = testing::spec("job-2", 40, 0.5);
   gang.shape = protocol::Shape::gang;
   gang.memory_gb = 0.5;
@@ -268,11 +272,11 @@
   with_leader(world, 75, [this](size_t leader) { world.crash(leader, 1); });
   world.run(200);
   EXPECT_TRUE(world.users.all_jobs_finished()) << world.users.unfinished_jobs();
-  expect_nothing_refused(world);
+  expect_no_rejections(world);
 }
 
-// A gang that runs when the limits fall, loses a machine and starts anew.
-TEST_F(LargeRecords, AGangThatLosesAMachineStartsAgain) {
+// A gang that is running when the limits are reduced loses a machine and restarts.
+TEST_F(LargeRecords, GangRestartsAfterMachineLoss) {
   JobSpec gang = testing::spec("job-1", 40, 0.5);
   gang.shape = protocol::Shape::gang;
   gang.memory_gb = 0.5;
@@ -291,11 +295,11 @@
   });
   world.run(200);
   EXPECT_TRUE(world.users.all_jobs_finished()) << world.users.unfinished_jobs();
-  expect_nothing_refused(world);
+  expect_no_rejections(world);
 }
 
-// Each control character takes six bytes in a record.
-TEST_F(LargeRecords, AJobWithLongNamesIsCancelledAndOneLikeItRefused) {
+// Each control character takes six bytes in a record, so these names exceed the next limits.
+TEST_F(LargeRecords, JobWithLongNamesIsCancelledAndSimilarOneIsRejected) {
   JobSpec named = testing::spec("job-1", 2);
   named.image = std::string(200, '\x01');
   named.estimate_s = 300;
@@ -306,25 +310,25 @@
   world.events.schedule_at(35, [this] { world.store.limits = kNextLimits; });
   world.run(50);
   named.id = "job-2";
-  EXPECT_EQ(status_of_submission(world, 0, named), 400);
+  EXPECT_EQ(submission_status(world, 0, named), 400);
   named.id = "job-1";
-  EXPECT_EQ(status_of_submission(world, 0, named), 200) << "accepted before";
+  EXPECT_EQ(submission_status(world, 0, named), 200) << "this job was accepted earlier";
   world.users.cancel("job-1");
   world.run(80);
   EXPECT_EQ(world.tasks.running_tasks("job-1"), 0u);
   EXPECT_TRUE(world.users.all_jobs_finished()) << world.users.unfinished_jobs();
-  expect_nothing_refused(world);
+  expect_no_rejections(world);
 }
 
-// Limits that nobody announced: transactions become smaller, and no job is given up.
-TEST(UnannouncedLimits, SmallerTransactionsAreTried) {
+// Store limits that were reduced without notice: transactions are split, and no job is abandoned.
+TEST(UnannouncedLimits, RejectedTransactionsAreSplit) {
   World world(1, {});
   world.users.submit_random_jobs(30, 60);
   world.events.schedule_at(20, [&world] { world.store.limits.max_transaction_changes = 2; });
-  JobSpec wide = testing::spec("job-1", 200, 0.25);
-  wide.memory_gb = 0.1;
-  wide.team = "blue";
-  world.users.submit(wide, 25);
+  JobSpec many_tasks = testing::spec("job-1", 200, 0.25);
+  many_tasks.memory_gb = 0.1;
+  many_tasks.team = "blue";
+  world.users.submit(many_tasks, 25);
   world.run(300);
   EXPECT_TRUE(world.users.all_jobs_finished()) << world.users.unfinished_jobs();
   expect_no_violations(world);
