--- a/tests/sim/task_runtime.cpp
+++ b/tests/sim/task_runtime.cpp
@@ -72,9 +72,8 @@
     if (worker->terminated) continue;
     const auto tasks = worker->tasks();
     for (const auto& [key, task] : tasks) {
-      const bool is_affected = spec.is_gang() ? key.first.job == id.job : key.first == id;
-      if (is_affected && key.second == attempt && task.stage == Stage::running)
-        worker->exit(key, "done");
+      const bool same = spec.is_gang() ? key.first.job == id.job : key.first == id;
+      if (same && key.second == attempt && task.stage == Stage::running) worker->exit(key, "done");
     }
   }
 }
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -192,8 +192,7 @@
 INSTANTIATE_TEST_SUITE_P(Scenarios, UpgradeScenario, ::testing::ValuesIn(kUpgradeScenarios),
                          [](const auto& info) { return std::string(info.param.name); });
 
-// ---------------------------------------------------------------- records written under larger
-// limits
+// ---------------------------------------------------------------- records of larger limits
 
 // Jobs accepted by the first version store more tasks per record than the next limits allow.
 class LargeRecords : public ::testing::Test {
