--- a/tests/combined_failures_test.cpp
+++ b/tests/combined_failures_test.cpp
@@ -1,5 +1,5 @@
 // Full simulated runs that combine several faults. Most invariant violations found so far needed
-// two faults at the same time. Each scenario corresponds to a row of the table in docs/DESIGN.md.
+// two faults at the same time. Each scenario corresponds to a row in docs/DESIGN.md.
 #include <gtest/gtest.h>
 
 #include "sim/long_jobs.hpp"
--- a/tests/sim/invariant_checker.cpp
+++ b/tests/sim/invariant_checker.cpp
@@ -241,7 +241,7 @@
   TrackedJob* job = find(id);
   if (job == nullptr) return;
   auto& since = job->placement_possible_since;
-  if (!possible || !job->is_active() || job->reported_done || now < faults_end_at_) {
+  if (!possible || !job->is_expected_to_run() || job->reported_done || now < faults_end_at_) {
     since.reset();
   } else if (!since) {
     since = now;
@@ -289,7 +289,7 @@
   std::map<std::string, std::vector<const TrackedJob*>> by_class;
   std::map<std::string, std::vector<const TrackedJob*>> by_team;
   for (const auto& [id, job] : jobs_) {
-    if (!job.is_active()) continue;
+    if (!job.is_expected_to_run()) continue;
     by_class[job.spec.job_class].push_back(&job);
     by_team[job.spec.team].push_back(&job);
   }
--- a/tests/sim/invariant_checker.hpp
+++ b/tests/sim/invariant_checker.hpp
@@ -114,7 +114,7 @@
     /// Time of the first query since the last response, while it is unanswered.
     std::optional<Seconds> unanswered_since;
 
-    bool is_active() const { return accepted && !cancellation_requested; }
+    bool is_expected_to_run() const { return accepted && !cancellation_requested; }
     bool is_served() const {
       return spec.is_service() ? started_at.has_value() : completed.size() == spec.tasks;
     }
--- a/tests/sim/network.cpp
+++ b/tests/sim/network.cpp
@@ -165,7 +165,7 @@
                                              bool new_connection, Seconds latency) {
   if (is_partitioned(from, to)) {
     if (new_connection) return std::nullopt;
-    return partition_end(from, to) + latency;  // delivered after the partition
+    return partition_end(from, to) + latency;  // usually after the sender's timeout
   }
   const FaultOptions& faults = world_.faults;
   const Seconds now = world_.events.now();
