--- a/tests/sim/task_runtime.cpp
+++ b/tests/sim/task_runtime.cpp
@@ -81,9 +81,9 @@
 void TaskRuntime::on_gang_member_lost(const std::string& job, std::uint64_t attempt) {
   const JobSpec& spec = *world_.users.spec(job);
   if (!spec.is_gang() || spec.tasks == 1) return;
-  const Seconds noticed =
+  const Seconds detected_at =
       world_.events.now() + world_.settings.gang_peer_s * world_.random_fraction();
-  world_.events.schedule_at(noticed, [this, job, attempt] { exit_gang_members(job, attempt); });
+  world_.events.schedule_at(detected_at, [this, job, attempt] { exit_gang_members(job, attempt); });
 }
 
 void TaskRuntime::exit_gang_members(const std::string& job, std::uint64_t attempt) {
