--- a/src/coordination/api/api_responses.hpp
+++ b/src/coordination/api/api_responses.hpp
@@ -1,4 +1,4 @@
-/// Responses to users that several of their requests share.
+/// Responses that the handlers of users' requests share.
 #pragma once
 
 #include <string>
@@ -8,19 +8,19 @@
 
 namespace larkroad::coordination {
 
-/// Users wait 5 s for an answer (2 s for a query) and then retry. Well before that they are asked
-/// to.
-inline constexpr transport::Seconds kAnswerWithin = 1.5;
+/// A request that is still undecided after this time is answered with 503 and Retry-After. Users
+/// time out after 5 s (2 s for a query) and then retry.
+inline constexpr transport::Seconds kResponseTimeout = 1.5;
 
-/// The state of a job, with status 200, or 201 when it has just been accepted.
+/// Reports the state of a job, with status 200, or 201 when it has just been accepted.
 transport::Response state_response(int status, const std::string& id, protocol::JobState state);
 
 transport::Response error_response(int status, const std::string& reason);
 
-/// Asks the user to retry.
+/// Responds with 503 and Retry-After.
 transport::Response retry_response(const std::string& reason);
 
-/// Asks the user to retry as the key-value store does not answer.
+/// Responds with 503 and Retry-After because the key-value store does not answer.
 transport::Response store_unavailable_response();
 
 }  // namespace larkroad::coordination
--- a/src/coordination/api/finished_job_cache.cpp
+++ b/src/coordination/api/finished_job_cache.cpp
@@ -5,7 +5,7 @@
 namespace larkroad::coordination {
 namespace {
 
-constexpr size_t kMaxRecords = 20'000;
+constexpr size_t kMaxCachedRecords = 20'000;
 
 }  // namespace
 
@@ -17,7 +17,7 @@
 void FinishedJobCache::insert(const std::string& id, const storage::FinishedRecord& record) {
   if (!records_.emplace(id, record).second) return;
   insertion_order_.push_back(id);
-  if (insertion_order_.size() > kMaxRecords) {
+  if (insertion_order_.size() > kMaxCachedRecords) {
     records_.erase(insertion_order_.front());
     insertion_order_.pop_front();
   }
--- a/src/coordination/api/finished_job_cache.hpp
+++ b/src/coordination/api/finished_job_cache.hpp
@@ -1,4 +1,4 @@
-/// A copy of the records of jobs that are over.
+/// In-memory cache of the records of finished jobs.
 #pragma once
 
 #include <deque>
@@ -9,13 +9,13 @@
 
 namespace larkroad::coordination {
 
-/// Holds the records that were read last. They never change, so a copy is never out of date.
+/// Bounded FIFO cache. Records of finished jobs are immutable, so entries need no invalidation.
 class FinishedJobCache {
  public:
-  /// Returns nullptr when the record is not here, whether or not the job is over.
+  /// Returns nullptr if the record is not cached, whether or not the job is finished.
   const storage::FinishedRecord* find(const std::string& id) const;
 
-  /// Adds a record, and drops the one that was added first when there are too many.
+  /// Adds a record, and evicts the oldest one when the cache is full.
   void insert(const std::string& id, const storage::FinishedRecord& record);
 
  private:
--- a/src/coordination/api/job_admission.hpp
+++ b/src/coordination/api/job_admission.hpp
@@ -1,4 +1,4 @@
-/// Whether a submitted job can ever run.
+/// Admission checks of submitted jobs.
 #pragma once
 
 #include <optional>
@@ -11,12 +11,12 @@
 
 namespace larkroad::coordination {
 
-/// Returns why a job can never run on any fleet of these machine types; none when it can.
+/// Returns why a job could not run on any fleet of these machine types, or nullopt if it could.
 std::optional<std::string> never_runnable(const protocol::JobSpec& spec, const Settings& settings,
                                           const std::vector<protocol::MachineType>& types);
 
-/// Removes machine types that do not exist from the list of those that a job allows: they allow
-/// nothing, and would only make its record long.
+/// Removes nonexistent machine types from the list of allowed types of a job: they match no machine
+/// and would only enlarge the job's record.
 void remove_unknown_types(protocol::JobSpec& spec, const std::vector<protocol::MachineType>& types);
 
 }  // namespace larkroad::coordination
--- a/src/coordination/api/job_cancellation.cpp
+++ b/src/coordination/api/job_cancellation.cpp
@@ -25,12 +25,12 @@
       on_cancelled_(std::move(on_cancelled)) {}
 
 void JobCancellation::handle(const std::string& id, Respond respond) {
-  attempt(id, clock_.now() + kAnswerWithin, std::move(respond));
+  attempt(id, clock_.now() + kResponseTimeout, std::move(respond));
 }
 
-void JobCancellation::attempt(const std::string& id, transport::Seconds until, Respond respond) {
+void JobCancellation::attempt(const std::string& id, transport::Seconds deadline, Respond respond) {
   lookup_.find_with_record(
-      id, [this, id, until, respond = std::move(respond)](const JobLookupResult& job) {
+      id, [this, id, deadline, respond = std::move(respond)](const JobLookupResult& job) {
         if (job.not_found()) {
           respond(error_response(http_status::kNotFound, "no such job"));
         } else if (!job.found()) {
@@ -38,13 +38,13 @@
         } else if (job.is_over() || !job.active) {
           respond(state_response(http_status::kOk, id, job.state));
         } else {
-          write_record(id, *job.active, until, respond);
+          write_record(id, *job.active, deadline, respond);
         }
       });
 }
 
 void JobCancellation::write_record(const std::string& id, const ActiveJob& job,
-                                   transport::Seconds until, Respond respond) {
+                                   transport::Seconds deadline, Respond respond) {
   storage::JobRecord record = job.record;
   record.cancelled = true;
   const double value_bytes = settings_.lasting_store_limits().value_bytes();
@@ -53,13 +53,13 @@
   transaction.writes.push_back(
       {storage::job_key(id), storage::encode_within(record, value_bytes), std::nullopt});
   store_.commit_until_certain(
-      std::move(transaction), [this, until] { return clock_.now() < until; },
-      [this, id, until, respond = std::move(respond)](const storage::CommitReply& reply) {
+      std::move(transaction), [this, deadline] { return clock_.now() < deadline; },
+      [this, id, deadline, respond = std::move(respond)](const storage::CommitReply& reply) {
         if (reply.status == Status::ok) {
           on_cancelled_(id);
           respond(state_response(http_status::kOk, id, JobState::cancelled));
-        } else if (reply.status == Status::conflict && clock_.now() < until) {
-          attempt(id, until, respond);  // the record has changed since it was read
+        } else if (reply.status == Status::conflict && clock_.now() < deadline) {
+          attempt(id, deadline, respond);  // the record has changed since it was read
         } else {
           respond(store_unavailable_response());
         }
--- a/src/coordination/api/job_cancellation.hpp
+++ b/src/coordination/api/job_cancellation.hpp
@@ -1,4 +1,4 @@
-/// Cancellations of jobs by users.
+/// Handling of users' requests to cancel a job.
 #pragma once
 
 #include <functional>
@@ -11,12 +11,12 @@
 
 namespace larkroad::coordination {
 
-/// Cancels a job by a compare-and-swap of its record, which any controller can do; the leader finds
-/// it by its watch of the records. Cancellations are idempotent.
+/// Cancels a job by a compare-and-swap on its record. Any controller can do this; the leader learns
+/// of it from its watch on the job records. Cancellations are idempotent.
 class JobCancellation {
  public:
-  /// `on_cancelled` is called once a cancellation is durable, before its user is answered. All
-  /// references must outlive this.
+  /// `on_cancelled` is called once a cancellation is durable, before the response is sent. All
+  /// references must outlive this object.
   JobCancellation(transport::Clock& clock, storage::KeyValueClient& store, JobLookup& lookup,
                   const Settings& settings,
                   std::function<void(const std::string& id)> on_cancelled);
@@ -24,8 +24,8 @@
   void handle(const std::string& id, transport::Respond respond);
 
  private:
-  void attempt(const std::string& id, transport::Seconds until, transport::Respond respond);
-  void write_record(const std::string& id, const ActiveJob& job, transport::Seconds until,
+  void attempt(const std::string& id, transport::Seconds deadline, transport::Respond respond);
+  void write_record(const std::string& id, const ActiveJob& job, transport::Seconds deadline,
                     transport::Respond respond);
 
   transport::Clock& clock_;
--- a/src/coordination/api/job_lookup.cpp
+++ b/src/coordination/api/job_lookup.cpp
@@ -14,7 +14,7 @@
 using storage::Status;
 using Outcome = JobLookupResult::Outcome;
 
-// A result without a job, for a read that found none or was not answered.
+// The result of a read that found no job or was not answered.
 JobLookupResult result_without_job(Status status) {
   JobLookupResult result;
   result.outcome = status == Status::missing ? Outcome::not_found : Outcome::unavailable;
@@ -41,7 +41,7 @@
   return result_of_finished(*record);
 }
 
-std::optional<JobLookupResult> JobLookup::find_without_reading(const std::string& id) {
+std::optional<JobLookupResult> JobLookup::find_without_store_read(const std::string& id) {
   if (auto finished = find_finished(id)) return finished;
   if (!protocol::valid_job_id(id)) return result_without_job(Status::missing);
   if (!store_.worth_trying()) return result_without_job(Status::unavailable);
@@ -55,54 +55,55 @@
   return running ? JobState::running : JobState::queued;
 }
 
-// A job's record moves from the one key to the other in a single transaction, so reading first the
-// one and then the other cannot miss a job that was there before the first read.
-void JobLookup::find_with_record(const std::string& id, Done done) {
-  if (const auto known = find_without_reading(id)) {
-    done(*known);
+// A single transaction moves the record of a finished job from `job_key` to `finished_key`, so
+// reading the keys in this order cannot miss a job that existed before the first read.
+void JobLookup::find_with_record(const std::string& id, OnResult on_result) {
+  if (const auto known = find_without_store_read(id)) {
+    on_result(*known);
     return;
   }
   store_.get(
       storage::job_key(id),
-      [this, id, done = std::move(done)](Status status, const storage::Entry& entry) {
+      [this, id, on_result = std::move(on_result)](Status status, const storage::Entry& entry) {
         if (status == Status::missing) {
-          read_finished(id, done);
+          read_finished(id, on_result);
         } else if (status == Status::ok) {
-          done(from_active_entry(id, entry));
+          on_result(from_active_entry(id, entry));
         } else {
-          done(result_without_job(status));
+          on_result(result_without_job(status));
         }
       },
       storage::RequestPriority::user);
 }
 
-void JobLookup::find(const std::string& id, Done done) {
-  if (const auto known = find_without_reading(id)) {
-    done(*known);
+void JobLookup::find(const std::string& id, OnResult on_result) {
+  if (const auto known = find_without_store_read(id)) {
+    on_result(*known);
     return;
   }
-  active_jobs_.refresh([this, id, done = std::move(done)](Status status) {
+  active_jobs_.refresh([this, id, on_result = std::move(on_result)](Status status) {
     if (status != Status::ok) {
-      done(result_without_job(status));
+      on_result(result_without_job(status));
       return;
     }
     const auto* job = active_jobs_.find(id);
     if (job == nullptr) {
-      read_finished(id, done);
+      read_finished(id, on_result);
       return;
     }
     JobLookupResult result;
     result.outcome = Outcome::found;
     result.state = state_of_active(id, job->cancelled);
-    done(result);
+    on_result(result);
   });
 }
 
-void JobLookup::read_finished(const std::string& id, Done done) {
+void JobLookup::read_finished(const std::string& id, OnResult on_result) {
   store_.get(
       storage::finished_key(id),
-      [this, id, done = std::move(done)](Status status, const storage::Entry& entry) {
-        done(status == Status::ok ? from_finished_entry(id, entry) : result_without_job(status));
+      [this, id, on_result = std::move(on_result)](Status status, const storage::Entry& entry) {
+        on_result(status == Status::ok ? from_finished_entry(id, entry)
+                                       : result_without_job(status));
       },
       storage::RequestPriority::user);
 }
@@ -113,7 +114,7 @@
   try {
     result.active = ActiveJob{storage::decode_job(id, entry.data), entry.revision};
   } catch (const std::exception& error) {
-    spdlog::error("job record unreadable: job={} error={}", id, error.what());
+    spdlog::error("cannot decode job record: job={} error={}", id, error.what());
     return result;
   }
   result.outcome = Outcome::found;
--- a/src/coordination/api/job_lookup.hpp
+++ b/src/coordination/api/job_lookup.hpp
@@ -1,4 +1,4 @@
-/// What is recorded of a job, for users' requests.
+/// Lookup of jobs in the key-value store, for users' requests.
 #pragma once
 
 #include <cstdint>
@@ -16,14 +16,14 @@
 
 namespace larkroad::coordination {
 
-/// How far a job is, as the leader last published it. For display only.
+/// Task counts of a job, as last published by the leader. For display only.
 struct JobProgress {
   std::uint32_t done = 0;
   std::uint32_t running = 0;
 };
 using ProgressByJob = std::unordered_map<std::string, JobProgress>;
 
-/// The record of a job that is not over, and the revision that a change of it depends on.
+/// The record of an unfinished job, and the revision to use as the precondition of an update.
 struct ActiveJob {
   storage::JobRecord record;
   std::uint64_t revision = 0;
@@ -37,8 +37,8 @@
   };
   Outcome outcome = Outcome::unavailable;
   protocol::JobState state = protocol::JobState::queued;
-  std::uint32_t finished_tasks = 0;  ///< how many tasks a job had that is over
-  std::optional<ActiveJob> active;   ///< only from `find_with_record`, of a job that is not over
+  std::uint32_t finished_tasks = 0;  ///< number of tasks; set for finished jobs only
+  std::optional<ActiveJob> active;   ///< set by `find_with_record` for unfinished jobs only
 
   bool found() const { return outcome == Outcome::found; }
   bool not_found() const { return outcome == Outcome::not_found; }
@@ -47,30 +47,30 @@
   }
 };
 
-/// Finds jobs by reads that are made after the request came in.
+/// Looks jobs up with reads that start after the request has arrived.
 ///
-/// Once any controller has reported to a user that a job is accepted, over or cancelled, no
-/// controller may give an older answer.
+/// This keeps responses consistent: once any controller has reported a job as accepted, finished or
+/// cancelled, no controller may report an earlier state.
 class JobLookup {
  public:
-  using Done = std::function<void(const JobLookupResult&)>;
+  using OnResult = std::function<void(const JobLookupResult&)>;
 
-  /// `progress` must outlive the lookup.
+  /// `progress` must outlive this object.
   JobLookup(transport::Clock& clock, storage::KeyValueClient& store, const Settings& settings,
             const ProgressByJob& progress);
 
-  /// Finds a job and its record, by a read of its own.
-  void find_with_record(const std::string& id, Done done);
+  /// Finds a job and its record, with a separate read.
+  void find_with_record(const std::string& id, OnResult on_result);
 
-  /// Finds a job without its record, by a read that all queries of a moment share.
-  void find(const std::string& id, Done done);
+  /// Finds a job without its record. Concurrent calls share one read.
+  void find(const std::string& id, OnResult on_result);
 
-  /// Finds a job that is known to be over, without a read.
+  /// Finds a job that is known to be finished, without a read.
   std::optional<JobLookupResult> find_finished(const std::string& id) const;
 
  private:
-  std::optional<JobLookupResult> find_without_reading(const std::string& id);
-  void read_finished(const std::string& id, Done done);
+  std::optional<JobLookupResult> find_without_store_read(const std::string& id);
+  void read_finished(const std::string& id, OnResult on_result);
   JobLookupResult from_active_entry(const std::string& id, const storage::Entry& entry) const;
   JobLookupResult from_finished_entry(const std::string& id, const storage::Entry& entry);
   protocol::JobState state_of_active(const std::string& id, bool cancelled) const;
--- a/src/coordination/api/job_submission.cpp
+++ b/src/coordination/api/job_submission.cpp
@@ -21,13 +21,13 @@
 using transport::Response;
 
 struct ParsedSubmission {
-  std::string id;  // empty: none could be read
+  std::string id;  // empty if it could not be parsed
   std::optional<protocol::JobSpec> spec;
-  std::string error;  // without a specification: why there is none
+  std::string error;  // the reason if there is no specification
 };
 
-// The id is read on its own, as a submission that is otherwise malformed may repeat one that was
-// accepted.
+// The id is parsed separately because a submission that is otherwise malformed may repeat one that
+// was accepted.
 ParsedSubmission parse(const std::string& body) {
   ParsedSubmission parsed;
   try {
@@ -91,7 +91,7 @@
     respond(std::move(response));
     return;
   }
-  // A job that was accepted stays accepted, whatever a repeated submission says.
+  // An accepted job stays accepted, whatever a repeated submission contains.
   lookup_.find_with_record(id, [id, response = std::move(response),
                                 respond = std::move(respond)](const JobLookupResult& job) {
     if (job.found()) {
@@ -112,7 +112,7 @@
 }
 
 void JobSubmission::accept(const protocol::JobSpec& spec, Respond respond) {
-  const transport::Seconds until = clock_.now() + kAnswerWithin;
+  const transport::Seconds deadline = clock_.now() + kResponseTimeout;
   if (const auto finished = lookup_.find_finished(spec.id)) {
     respond(state_response(http_status::kOk, spec.id, finished->state));
     return;
@@ -130,14 +130,14 @@
            std::move(respond));
     return;
   }
-  write_record(record, until, std::move(respond));
+  write_record(record, deadline, std::move(respond));
 }
 
-void JobSubmission::write_record(const storage::JobRecord& record, transport::Seconds until,
+void JobSubmission::write_record(const storage::JobRecord& record, transport::Seconds deadline,
                                  Respond respond) {
-  // The outcome must be certain before the user gets a final answer.
+  // The outcome must be certain before the user gets a final response.
   store_.commit_until_certain(
-      new_job_transaction(record), [this, until] { return clock_.now() < until; },
+      new_job_transaction(record), [this, deadline] { return clock_.now() < deadline; },
       [this, id = record.spec.id, respond = std::move(respond)](const storage::CommitReply& reply) {
         if (reply.status == Status::ok) {
           respond(state_response(http_status::kCreated, id, JobState::queued));
--- a/src/coordination/api/job_submission.hpp
+++ b/src/coordination/api/job_submission.hpp
@@ -1,4 +1,4 @@
-/// Submissions of jobs by users.
+/// Handling of users' job submissions.
 #pragma once
 
 #include <functional>
@@ -13,15 +13,15 @@
 
 namespace larkroad::coordination {
 
-/// Accepts a job by writing its record, which any controller can do; the leader finds it by its
-/// watch of the records.
+/// Accepts a job by writing its record. Any controller can do this; the leader learns of it from
+/// its watch on the job records.
 ///
-/// Submissions are idempotent: one whose job was accepted before is answered with the job's state,
-/// whatever it says now, and also when the job is over.
+/// Submissions are idempotent: if a job of the same id was accepted before, the response is the
+/// state of that job, whatever the repeated submission contains and even if the job is finished.
 class JobSubmission {
  public:
-  /// `services_supported`: whether every controller understands services; until then none is
-  /// accepted. All references must outlive this.
+  /// `services_supported`: whether every controller supports services; until then no service is
+  /// accepted. All references must outlive this object.
   JobSubmission(transport::Clock& clock, storage::KeyValueClient& store, JobLookup& lookup,
                 const MachineCatalog& catalog, const Settings& settings,
                 std::function<bool()> services_supported);
@@ -29,14 +29,15 @@
   void handle(const std::string& body, transport::Respond respond);
 
  private:
-  /// Answers with `response` unless the job was accepted before or the store cannot say so.
+  /// Responds with `response`, unless the job was accepted before (responds with its state) or the
+  /// store does not answer (asks the user to retry).
   void reject(const std::string& id, transport::Response response, transport::Respond respond);
   /// Asks the user to retry, unless the job is known to have been accepted before.
   void postpone(const std::string& id, const std::string& reason, transport::Respond respond);
   void accept(const protocol::JobSpec& spec, transport::Respond respond);
-  void write_record(const storage::JobRecord& record, transport::Seconds until,
+  void write_record(const storage::JobRecord& record, transport::Seconds deadline,
                     transport::Respond respond);
-  /// Answers with the state of a job that was accepted by an earlier submission.
+  /// Responds with the state of a job that an earlier submission created.
   void respond_with_state(const std::string& id, transport::Respond respond);
 
   transport::Clock& clock_;
--- a/src/coordination/api/request_forwarder.cpp
+++ b/src/coordination/api/request_forwarder.cpp
@@ -17,24 +17,25 @@
 using transport::Respond;
 using transport::Response;
 
-// Users wait 2 s for the answer to a query, of which this controller has used up to 1.5 s.
+// Users time out after 2 s on a query, of which this controller may already have used 1.5 s
+// (kResponseTimeout).
 constexpr Seconds kForwardTimeout = 0.5;
-// Quoting a body for the message to the peer makes it longer; above this size the message might
-// exceed what the peer's server takes.
-constexpr std::size_t kMaxForwardedBody = transport::kBodyLimit / 4;
+// Escaping the body as a JSON string enlarges it; above this size the message might exceed the body
+// limit of the peer's server.
+constexpr std::size_t kMaxForwardedBodyBytes = transport::kBodyLimit / 4;
 
-bool may_be_forwarded(const Request& request, const Response& response) {
+bool is_forwardable(const Request& request, const Response& response) {
   return response.status == 503 && request.target != protocol::kHealthPath;
 }
 
-std::optional<Response> response_of_peer(const PeerSettings& peer, Outcome outcome,
-                                         const Response& reply) {
+std::optional<Response> parse_peer_response(const PeerSettings& peer, Outcome outcome,
+                                            const Response& reply) {
   if (outcome != Outcome::answered || reply.status != 200) return std::nullopt;
   try {
     auto response = protocol::parse_forwarded_response(reply.body);
     return Response{response.status, std::move(response.body), response.retry_after_s};
   } catch (const std::exception& error) {
-    spdlog::error("invalid answer to a forwarded request: member={} error={}", peer.member,
+    spdlog::error("invalid response to forwarded request: member={} error={}", peer.member,
                   error.what());
     return std::nullopt;
   }
@@ -43,13 +44,13 @@
 }  // namespace
 
 void RequestForwarder::handle(const Request& request, Respond respond) {
-  // Users may repeat each of their requests, so it does no harm when a request takes effect both
-  // here, although the store's answer was lost, and at the peer.
+  // All users' requests are idempotent, so one may take effect twice: here, with the store's reply
+  // lost, and at the peer.
   auto original = std::make_shared<const Request>(request);
   user_api_.handle(request, [this, original, respond = std::move(respond)](Response response) {
     const PeerSettings* peer =
-        may_be_forwarded(*original, response) ? peers_.next_with_store(clock_.now()) : nullptr;
-    if (peer == nullptr || original->body.size() > kMaxForwardedBody) {
+        is_forwardable(*original, response) ? peers_.next_with_store_access(clock_.now()) : nullptr;
+    if (peer == nullptr || original->body.size() > kMaxForwardedBodyBytes) {
       respond(std::move(response));
     } else {
       forward(*peer, *original, std::move(response), respond);
@@ -65,7 +66,7 @@
                kForwardTimeout,
                [&peer, own_response = std::move(own_response), respond = std::move(respond)](
                    Outcome outcome, const Response& reply) {
-                 respond(response_of_peer(peer, outcome, reply).value_or(own_response));
+                 respond(parse_peer_response(peer, outcome, reply).value_or(own_response));
                });
 }
 
--- a/src/coordination/api/request_forwarder.hpp
+++ b/src/coordination/api/request_forwarder.hpp
@@ -1,8 +1,7 @@
-/// Users' requests that this controller cannot serve, because the key-value store does not answer
-/// it, are handed to a peer that the store does answer.
+/// Forwarding of users' requests to a peer while this controller cannot reach the key-value store.
 ///
-/// Called by `Controller`, in front of `UserApi`. A forwarded request is answered by the peer or
-/// not at all: it is never forwarded again, so requests do not circulate.
+/// Called by `Controller`, in front of `UserApi`. A peer never forwards a forwarded request again,
+/// so requests cannot loop between controllers.
 #pragma once
 
 #include <string>
@@ -20,13 +19,14 @@
                    PeerRegistry& peers)
       : clock_(clock), client_(client), user_api_(user_api), peers_(peers) {}
 
-  /// Answers a user's request here, or by a peer when the answer here would be 503.
+  /// Handles a user's request locally; if the response would be 503, forwards it to a peer that
+  /// reaches the store.
   void handle(const transport::Request& request, transport::Respond respond);
-  /// Answers a request that a peer has forwarded. Throws `protocol::Malformed`.
+  /// Handles a request forwarded by a peer. Throws `protocol::Malformed`.
   void handle_forwarded(const std::string& body, transport::Respond respond);
 
  private:
-  /// Answers with what the peer responds, or with `own_response` if there is no valid answer.
+  /// Responds with the peer's response, or with `own_response` if the peer gives no valid one.
   void forward(const PeerSettings& peer, const transport::Request& request,
                transport::Response own_response, transport::Respond respond);
 
--- a/src/coordination/api/user_api.hpp
+++ b/src/coordination/api/user_api.hpp
@@ -1,4 +1,4 @@
-/// The HTTP interface to users.
+/// The HTTP API for users.
 #pragma once
 
 #include <functional>
@@ -18,9 +18,9 @@
 
 /// Routes users' requests: submission, query, cancellation, health check.
 ///
-/// Every controller answers them without the leader, by compare-and-swap transactions and reads
-/// that are made after the request. Owned by the controller, which passes on to the leader what is
-/// urgent for it. Runs on the event loop; not thread-safe.
+/// Every controller serves them without the leader, with compare-and-swap transactions and with
+/// reads that start after the request has arrived. Owned by the controller, which notifies the
+/// leader of cancellations. Runs on the event loop; not thread-safe.
 class UserApi {
  public:
   using Progress = JobProgress;
@@ -31,23 +31,23 @@
   UserApi(const UserApi&) = delete;
   UserApi& operator=(const UserApi&) = delete;
 
-  /// Answers a request, now or later, once.
+  /// Calls `respond` exactly once, synchronously or later.
   void handle(const transport::Request& request, transport::Respond respond);
 
-  /// Replaces what the leader has published of jobs that are running.
+  /// Replaces the progress of running jobs, as published by the leader.
   void set_progress(ProgressByJob progress) { progress_ = std::move(progress); }
 
-  /// The answer to health checks.
+  /// The result of health checks.
   std::function<bool()> healthy = [] { return true; };
-  /// Whether every controller understands services; until then none is accepted.
+  /// Whether every controller supports services; until then no service is accepted.
   std::function<bool()> services_known = [] { return true; };
-  /// Called once a cancellation is durable, before its user is answered.
+  /// Called once a cancellation is durable, before the response is sent.
   std::function<void(const std::string& id)> on_cancelled = [](const std::string&) {};
 
  private:
   void query(const std::string& id, transport::Respond respond);
   transport::Response query_response(const std::string& id, const JobLookupResult& job) const;
-  /// The counts that users are shown, of tasks that are done and running.
+  /// The numbers of completed and running tasks to report to the user.
   JobProgress displayed_progress(const std::string& id, const JobLookupResult& job) const;
 
   ProgressByJob progress_;
