--- a/src/coordination/membership/cancellation_notifier.cpp
+++ b/src/coordination/membership/cancellation_notifier.cpp
@@ -5,10 +5,9 @@
 namespace larkroad::coordination {
 namespace {
 
-// How long a peer may take to answer, and the pause before a notice without an answer is sent
-// again, as parts of the heartbeat interval.
-constexpr double kTimeoutRatio = 1.0 / 3;
-constexpr double kRetryRatio = 1.0 / 10;
+// Timeout of a call, and delay before a retry, as fractions of the heartbeat interval.
+constexpr double kTimeoutIntervalRatio = 1.0 / 3;
+constexpr double kRetryIntervalRatio = 1.0 / 10;
 
 }  // namespace
 
@@ -30,18 +29,19 @@
   const std::string message =
       protocol::encode_cancellation_notice({settings_.member, outbox.notices.front().job});
   client_.call(peer.addr.text(), {"POST", protocol::kCancellationPath, message},
-               settings_.heartbeat_interval_s * kTimeoutRatio,
+               settings_.heartbeat_interval_s * kTimeoutIntervalRatio,
                [this, &peer](transport::Outcome outcome, const transport::Response&) {
                  handle_reply(peer, outcome);
                });
 }
 
 void CancellationNotifier::handle_reply(const PeerSettings& peer, transport::Outcome outcome) {
-  // Any answer will do, a refusal too: a peer that does not know the job has nothing to stop.
+  // Any reply confirms delivery, an error too: a peer that does not know the job has nothing to
+  // stop.
   const bool answered = outcome == transport::Outcome::answered;
   if (answered) outboxes_[peer.member].notices.pop_front();
-  const Seconds pause = answered ? 0 : settings_.heartbeat_interval_s * kRetryRatio;
-  clock_.after(pause, [this, &peer] {
+  const Seconds delay = answered ? 0 : settings_.heartbeat_interval_s * kRetryIntervalRatio;
+  clock_.after(delay, [this, &peer] {
     outboxes_[peer.member].call_in_flight = false;
     send_next(peer);
   });
--- a/src/coordination/membership/cancellation_notifier.hpp
+++ b/src/coordination/membership/cancellation_notifier.hpp
@@ -1,9 +1,9 @@
 /// Notifies the other controllers of cancellations that this one has made durable.
 ///
-/// The leader learns of a cancellation by its watch on the store as well. A notice is the quick way
-/// to a leader that the store does not answer while its peers still reach it: it must stop the
-/// tasks within the cancellation limit. Called by `Controller` when a cancellation becomes durable,
-/// before the user is answered.
+/// The leader also learns of a cancellation from its watch on the key-value store. Notices are for
+/// a leader that has lost the store but is still reachable from its peers: it must stop the tasks
+/// within the cancellation limit all the same. Called by `Controller` when a cancellation becomes
+/// durable, before the user gets the response.
 #pragma once
 
 #include <deque>
@@ -23,17 +23,17 @@
   CancellationNotifier(transport::Clock& clock, transport::Client& client, const Settings& settings)
       : clock_(clock), client_(client), settings_(settings) {}
 
-  /// Notifies every peer at once, and again until it answers or the cancellation limit is over.
+  /// Notifies every peer, and retries until it replies or the cancellation limit has passed.
   void notify_peers(const std::string& job);
 
  private:
   struct Notice {
     std::string job;
-    Seconds expires_at = 0;  // the job's tasks have ended by then, whether or not this arrives
+    Seconds expires_at = 0;  // the job's tasks end by then even if the notice never arrives
   };
   struct Outbox {
     std::deque<Notice> notices;
-    // One call at a time, so that a peer that does not answer costs one socket.
+    // One call at a time, so that an unresponsive peer occupies only one socket.
     bool call_in_flight = false;
   };
 
--- a/src/coordination/membership/leader_announcements.hpp
+++ b/src/coordination/membership/leader_announcements.hpp
@@ -1,9 +1,9 @@
-/// Who leads, and whether workers are distributed over all controllers, by the announcements that
-/// leaders send to their peers.
+/// The announcements that leaders send to their peers: who leads, and whether workers are
+/// distributed over all controllers.
 ///
-/// A controller usually learns of the leader from the key-value store. Announcements are the way
-/// for one that the store does not answer, so that it can go on relaying heartbeats. Owned by
-/// `Controller`, written by `PeerGossip`.
+/// A controller normally learns of the leader from the key-value store. Announcements inform one
+/// that cannot reach the store, so that it can go on relaying heartbeats. Owned by `Controller`,
+/// updated by `PeerGossip`.
 #pragma once
 
 #include <cstdint>
@@ -27,20 +27,21 @@
 
   explicit LeaderAnnouncements(const Settings& settings) : settings_(settings) {}
 
-  /// A peer has announced itself as the leader under this token. Announcements of an earlier
-  /// leadership, which may arrive late, are ignored.
+  /// Records that a peer has announced itself as the leader with this token. Announcements of an
+  /// earlier term, which may arrive late, are ignored.
   void received(const std::string& member, std::uint64_t fencing_token, bool distributes_workers,
                 Seconds now);
-  /// This controller announces itself as the leader.
+  /// Records that this controller has announced itself as the leader.
   void sent(bool distributes_workers);
 
-  /// The newest announcement of a peer, unless it is older than a heartbeat interval or the store
-  /// has shown a leader of a revision that is no older.
+  /// The newest announcement of a peer; nullptr if it is older than a heartbeat interval, or if the
+  /// leader known from the store was elected at the same or a later revision.
   const Announcement* current(std::uint64_t leader_revision, Seconds now) const;
-  /// Whether workers are distributed over all controllers, by the latest announcement sent or
-  /// received.
+  /// Whether workers are distributed over all controllers, according to the latest announcement
+  /// sent or received.
   bool workers_distributed() const { return workers_distributed_; }
-  /// What this controller last announced of that as the leader; false when it never did.
+  /// Whether workers were distributed according to the last announcement that this controller sent
+  /// as the leader; false if it never sent one.
   bool last_sent() const { return last_sent_; }
 
  private:
--- a/src/coordination/membership/member_versions.cpp
+++ b/src/coordination/membership/member_versions.cpp
@@ -12,10 +12,10 @@
 
 using storage::Status;
 
-// Failed calls are repeated, and missing versions looked for, after this part of the workers'
-// lease.
-constexpr double kRetryRatio = 1.0 / 8;
-// As a precondition: the record must not exist.
+// Delay before failed calls are retried and missing versions polled again, as a fraction of the
+// workers' lease.
+constexpr double kRetryLeaseRatio = 1.0 / 8;
+// Precondition: the record must not exist.
 constexpr std::uint64_t kNoRecord = 0;
 
 std::string member_of(const std::string& version_key) {
@@ -44,12 +44,12 @@
 }
 
 bool MemberVersions::all_understand(RecordVersion version) const {
-  return understands(settings_.member, version) &&
+  return supports(settings_.member, version) &&
          std::all_of(settings_.peers.begin(), settings_.peers.end(),
-                     [&](const PeerSettings& peer) { return understands(peer.member, version); });
+                     [&](const PeerSettings& peer) { return supports(peer.member, version); });
 }
 
-bool MemberVersions::understands(const std::string& member, RecordVersion version) const {
+bool MemberVersions::supports(const std::string& member, RecordVersion version) const {
   if (const auto reported = reported_.find(member); reported != reported_.end()) {
     return reported->second >= version;
   }
@@ -62,7 +62,7 @@
     if (status == Status::missing) {
       write_own_version(kNoRecord);
     } else if (status != Status::ok) {
-      clock_.after(settings_.lease_s * kRetryRatio, [this] { record_own_version(); });
+      clock_.after(settings_.lease_s * kRetryLeaseRatio, [this] { record_own_version(); });
     } else if (storage::decode_version(entry.data) != kOwnVersion) {
       write_own_version(entry.revision);
     }
@@ -77,7 +77,7 @@
   transaction.writes.push_back({key, storage::encode_version(kOwnVersion), std::nullopt});
   store_.commit(transaction, [this](const storage::CommitReply& reply) {
     if (reply.status == Status::ok) return;
-    clock_.after(settings_.lease_s * kRetryRatio, [this] { record_own_version(); });
+    clock_.after(settings_.lease_s * kRetryLeaseRatio, [this] { record_own_version(); });
   });
 }
 
@@ -86,7 +86,7 @@
   polling_ = true;
   store_.list(storage::kVersionPrefix, "", [this](const storage::ListReply& reply) {
     handle_records(reply);
-    clock_.after(settings_.lease_s * kRetryRatio, [this] {
+    clock_.after(settings_.lease_s * kRetryLeaseRatio, [this] {
       polling_ = false;
       poll_records();
     });
@@ -102,8 +102,9 @@
   }
 }
 
-// The first version does not replace the record of the one that ran before it. Left alone, the
-// record would stand for a newer version as soon as the process cannot be reached.
+// After a downgrade, a controller of the first version does not overwrite the record of the version
+// that ran before it. Left in place, it would be trusted by any controller that has no report from
+// that member, for instance because it cannot reach it.
 void MemberVersions::delete_outdated_record(const std::string& member) {
   const auto reported = reported_.find(member);
   const auto recorded = recorded_.find(member);
--- a/src/coordination/membership/member_versions.hpp
+++ b/src/coordination/membership/member_versions.hpp
@@ -1,9 +1,8 @@
-/// Which version of the records and messages each controller understands.
+/// The version of records and messages that each controller supports.
 ///
-/// Controllers report their version to their peers, and each keeps its own in the key-value store
-/// as well, so that it is also known of one that cannot be reached. What only newer versions
-/// understand is used once every controller of the settings is known to understand it. Owned by
-/// `Controller`.
+/// Controllers report their version to their peers and also record it in the key-value store, so
+/// that the version of an unreachable controller is known too. A feature that needs a newer version
+/// is used once every configured controller is known to support it. Owned by `Controller`.
 #pragma once
 
 #include <cstdint>
@@ -18,9 +17,9 @@
 
 using RecordVersion = std::uint64_t;
 
-/// The first version neither reports nor records which one it is.
+/// Controllers of the first version neither report nor record their version.
 inline constexpr RecordVersion kFirstVersion = 1;
-/// Understands services, and batches of heartbeats by way of the key-value store.
+/// Adds services, and heartbeat batches relayed through the key-value store.
 inline constexpr RecordVersion kServicesVersion = 2;
 inline constexpr RecordVersion kOwnVersion = kServicesVersion;
 
@@ -28,13 +27,12 @@
  public:
   MemberVersions(transport::Clock& clock, storage::KeyValueClient& store, const Settings& settings);
 
-  /// Records this controller's own version and reads those of the others, until they are known.
+  /// Records this controller's version, and polls those of the others until they are known.
   void start();
-  /// A peer has just reported which version it runs.
+  /// Records the version that a peer has reported.
   void peer_reported(const std::string& member, RecordVersion version);
-  /// Whether every controller of the settings is known to understand this version. What a peer
-  /// reports counts before what is recorded of it, as it may have been replaced by a process of an
-  /// earlier version.
+  /// Whether every configured controller is known to support this version. A reported version takes
+  /// precedence over the recorded one, as the peer may have been downgraded since.
   bool all_understand(RecordVersion version) const;
 
  private:
@@ -43,11 +41,11 @@
     std::uint64_t revision = 0;
   };
 
-  bool understands(const std::string& member, RecordVersion version) const;
+  bool supports(const std::string& member, RecordVersion version) const;
   void record_own_version();
-  /// `replaced_revision`: of the record that is to be replaced, 0 for none.
+  /// `replaced_revision`: the revision of the record to replace, 0 if there is none.
   void write_own_version(std::uint64_t replaced_revision);
-  /// Reads all records, again and again until every controller is known to run this version.
+  /// Reads all records repeatedly until every controller is known to support this version.
   void poll_records();
   void handle_records(const storage::ListReply& reply);
   /// Deletes the record of a member that has reported an earlier version.
@@ -57,7 +55,7 @@
   storage::KeyValueClient& store_;
   const Settings& settings_;
   bool polling_ = false;
-  std::map<std::string, RecordVersion> reported_;  // in this process's life, by member
+  std::map<std::string, RecordVersion> reported_;  // since this process started, by member
   std::map<std::string, Record> recorded_;         // by member
 };
 
--- a/src/coordination/membership/peer_registry.cpp
+++ b/src/coordination/membership/peer_registry.cpp
@@ -25,7 +25,7 @@
                      [&](const auto& peer) { return is_recent(peer.second, now); });
 }
 
-const PeerSettings* PeerRegistry::next_with_store(Seconds now) {
+const PeerSettings* PeerRegistry::next_with_store_access(Seconds now) {
   for (std::size_t i = 0; i < settings_.peers.size(); ++i) {
     const PeerSettings& peer = settings_.peers[next_peer_++ % settings_.peers.size()];
     const auto reported = store_available_at_.find(peer.member);
--- a/src/coordination/membership/peer_registry.hpp
+++ b/src/coordination/membership/peer_registry.hpp
@@ -1,8 +1,8 @@
-/// What each peer last reported of itself.
+/// The last status report of each peer.
 ///
-/// Owned by `Controller`, written by `PeerGossip`, read wherever a controller decides whether a
-/// peer is better placed than itself. A report counts for one heartbeat interval, so a peer that
-/// has ended or cannot be reached drops out by itself.
+/// Owned by `Controller`, updated by `PeerGossip`, and read wherever a controller decides whether a
+/// peer is in a better position to do something. A report expires after one heartbeat interval, so
+/// peers that have crashed or are unreachable are no longer considered.
 #pragma once
 
 #include <cstddef>
@@ -21,26 +21,26 @@
  public:
   explicit PeerRegistry(const Settings& settings) : settings_(settings) {}
 
-  /// Records what a peer has just reported of itself.
+  /// Records a peer's status report.
   void observe(const protocol::PeerStatus& status, Seconds now);
 
-  /// Whether the settings name this member as a peer.
+  /// Whether this member is a configured peer.
   bool is_peer(const std::string& member) const;
-  /// Whether the key-value store answers any peer.
+  /// Whether any peer reaches the key-value store.
   bool any_has_store(Seconds now) const;
-  /// Whether workers send heartbeats to any peer that the key-value store answers, and which could
-  /// therefore take over the leadership.
+  /// Whether any peer that reaches the key-value store, and could therefore become the leader,
+  /// receives heartbeats from workers.
   bool any_receives_heartbeats(Seconds now) const;
-  /// The next peer, in turn, that the key-value store answers; nullptr when none is known.
-  const PeerSettings* next_with_store(Seconds now);
+  /// The next peer, round-robin, that reaches the key-value store; nullptr if none is known.
+  const PeerSettings* next_with_store_access(Seconds now);
 
  private:
   bool is_recent(Seconds reported_at, Seconds now) const;
 
   const Settings& settings_;
-  /// When each peer last reported that the key-value store answers it, by member.
+  /// When each peer last reported that it reaches the key-value store, by member.
   std::map<std::string, Seconds> store_available_at_;
-  /// When each of these last reported that workers send heartbeats to it, by member.
+  /// When each peer last reported that it receives heartbeats as well, by member.
   std::map<std::string, Seconds> heartbeats_received_at_;
   std::size_t next_peer_ = 0;
 };
--- a/src/coordination/relay/acknowledged_heartbeats.cpp
+++ b/src/coordination/relay/acknowledged_heartbeats.cpp
@@ -4,7 +4,7 @@
 
 namespace larkroad::coordination {
 
-std::optional<std::uint64_t> AcknowledgedHeartbeats::find_unchanged(
+std::optional<std::uint64_t> AcknowledgedHeartbeats::find_base_sequence(
     const protocol::Heartbeat& heartbeat) const {
   const auto found = by_machine_.find(heartbeat.machine);
   if (found == by_machine_.end()) return std::nullopt;
@@ -16,7 +16,7 @@
 void AcknowledgedHeartbeats::acknowledge(protocol::Heartbeat heartbeat, Seconds now) {
   Acknowledged& acknowledged = by_machine_[heartbeat.machine];
   acknowledged.at = now;
-  // The leader keeps what it received in full, so an unchanged one must not replace it here.
+  // The leader keeps the heartbeat that it received in full, so a delta must not replace the base.
   if (!protocol::unchanged(acknowledged.heartbeat, heartbeat)) {
     acknowledged.heartbeat = std::move(heartbeat);
   }
--- a/src/coordination/relay/acknowledged_heartbeats.hpp
+++ b/src/coordination/relay/acknowledged_heartbeats.hpp
@@ -1,4 +1,4 @@
-/// The record behind the delta encoding of relayed heartbeats.
+/// Base heartbeats for the delta encoding of relayed heartbeats.
 #pragma once
 
 #include <cstdint>
@@ -13,27 +13,27 @@
 
 using transport::Seconds;
 
-/// The last heartbeat of each machine that the leader has received in full and answered with 200.
+/// For each machine, the last heartbeat that the leader has received in full and answered with 200.
 ///
-/// Most heartbeats differ from the one before in their sequence number alone, so a relay sends only
-/// that number and the one of the acknowledged heartbeat that it repeats. The leader may have
-/// dropped its copy (after a failover, for instance); it then asks for the full payload, and the
-/// relay calls `forget`. Owned by Relay.
+/// Most heartbeats differ from the previous one only in their sequence number, so a relay sends
+/// just that number and the sequence number of the acknowledged heartbeat they are equal to. If the
+/// leader no longer has its copy, for instance after a failover, it requests the full payload, and
+/// the relay calls `forget`. Owned by Relay.
 class AcknowledgedHeartbeats {
  public:
-  /// The sequence number of the acknowledged heartbeat that `heartbeat` repeats; none when it has
-  /// to be sent in full.
-  std::optional<std::uint64_t> find_unchanged(const protocol::Heartbeat& heartbeat) const;
+  /// The sequence number of the acknowledged heartbeat that `heartbeat` is equal to; nullopt if it
+  /// must be sent in full.
+  std::optional<std::uint64_t> find_base_sequence(const protocol::Heartbeat& heartbeat) const;
 
-  /// The leader has answered a heartbeat that it received in full or as unchanged.
+  /// Records that the leader has answered a heartbeat, which was sent in full or as a delta.
   void acknowledge(protocol::Heartbeat heartbeat, Seconds now);
-  /// The same of a heartbeat for whose full payload the leader had asked: from now on this one is
-  /// what later ones are compared with, even if it says the same as the one before.
+  /// The same for a heartbeat whose full payload the leader had requested. It becomes the base of
+  /// later deltas even if it is equal to the previous base.
   void acknowledge_full_payload(protocol::Heartbeat heartbeat, Seconds now);
 
-  /// The leader no longer has the acknowledged heartbeat of this machine.
+  /// Removes the base of this machine, because the leader no longer has it.
   void forget(const std::string& machine);
-  /// Drops machines whose last acknowledgement is older than `max_age`.
+  /// Removes machines whose last acknowledgement is older than `max_age`.
   void drop_older_than(Seconds max_age, Seconds now);
 
  private:
--- a/src/coordination/relay/leader_reachability.cpp
+++ b/src/coordination/relay/leader_reachability.cpp
@@ -3,9 +3,9 @@
 namespace larkroad::coordination {
 namespace {
 
-// An answer counts as recent for this many heartbeat intervals.
+// The leader counts as reachable for this many heartbeat intervals after an answer.
 constexpr double kReachableIntervals = 1;
-// A leader that has ended loses its key after a sixth of the workers' lease.
+// Fraction of the workers' lease. The key of a crashed leader expires after a sixth of that lease.
 constexpr double kPartitionedLeaseRatio = 1.0 / 5;
 
 }  // namespace
--- a/src/coordination/relay/leader_reachability.hpp
+++ b/src/coordination/relay/leader_reachability.hpp
@@ -1,4 +1,4 @@
-/// Whether the controller that leads answers this one over the network.
+/// Whether this controller can reach the leader over the network.
 #pragma once
 
 #include <optional>
@@ -10,30 +10,31 @@
 
 using transport::Seconds;
 
-/// Keeps when the leader last answered a direct call of this controller.
+/// Tracks when the leader last answered a direct call of this controller.
 ///
-/// Owned by Relay, which reports the outcome of every direct call and asks before it chooses a
-/// route. Between the two answers below lies a time in which the leader is neither reachable nor
-/// presumed to be behind a partition: it may have ended, and its successor is about to be elected.
+/// Owned by Relay, which reports the outcome of every direct call and chooses the route by this
+/// state. For some time after it stops answering, the leader is neither reachable nor presumed to
+/// be partitioned: it may have crashed, and its successor is about to be elected.
 class LeaderReachability {
  public:
   LeaderReachability(const transport::Clock& clock, const Settings& settings);
 
-  /// Another controller leads from now on; nothing is known of it.
+  /// Discards what is known, because the leader has changed.
   void reset();
   void record_answer();
   void record_failure();
 
   /// Whether the leader has answered recently and no call has failed since.
   bool is_reachable() const;
-  /// Whether the leader has answered nothing for longer than it would keep the leader's key if it
-  /// had ended: it is alive, and a network partition lies between it and this controller.
+  /// Whether the leader has been silent for longer than the leader key outlives a crashed leader.
+  /// As it still holds the key, it is alive and separated from this controller by a network
+  /// partition.
   bool is_partitioned() const;
 
  private:
   const transport::Clock& clock_;
   const Settings& settings_;
-  std::optional<Seconds> last_answer_at_;  // none: the last call failed, or there was none
+  std::optional<Seconds> last_answer_at_;  // nullopt: the last call failed, or none was made
   Seconds unanswered_since_;
 };
 
--- a/src/coordination/relay/relay.cpp
+++ b/src/coordination/relay/relay.cpp
@@ -9,26 +9,24 @@
 namespace larkroad::coordination {
 namespace {
 
-// Workers give up on an answer after 4 s and drop what comes later; half of that is left for the
-// way back.
+// Workers time out after 4 s and drop later answers; half of that time is left for the response.
 constexpr Seconds kDirectTimeout = 2;
-// The same by way of the key-value store, where heartbeats are gathered for longer.
+// The same for the key-value store route, on which heartbeats are gathered for longer.
 constexpr Seconds kStoreTimeout = 3.5;
-// A heartbeat this close to its deadline could not be answered in time any more.
+// A heartbeat this close to its deadline is not sent, as its answer would come too late.
 constexpr Seconds kMinTimeToAnswer = kDirectTimeout / 8;
-// Heartbeats are gathered for this part of the heartbeat interval.
+// Heartbeats are gathered into a batch for this fraction of the heartbeat interval.
 constexpr double kGatherRatio = 1.0 / 100;
-// While a second batch fills, the first is being answered.
+// One batch can be sent while the leader is answering the other.
 constexpr int kMaxBatchesInFlight = 2;
-// A batch stays this far below what the peer's server accepts: its text grows with every quote.
+// Half of the body limit of the peer's server, because escaping quotes enlarges the message.
 constexpr size_t kMaxBatchBytes = transport::kBodyLimit / 2;
-// Estimates of what a heartbeat takes in a batch: unchanged, and in the compact form with its
-// tasks.
-constexpr size_t kUnchangedBytes = 128;
+// Estimated size of a heartbeat in a batch: as a delta, and in the compact form with its tasks.
+constexpr size_t kDeltaBytes = 128;
 constexpr size_t kCompactBytes = 128;
 constexpr size_t kCompactTaskBytes = 40;
-// Acknowledgements are kept for this many leases.
-constexpr double kAcknowledgedLeases = 2;
+// Acknowledged heartbeats are kept for this many leases.
+constexpr double kAcknowledgementLeases = 2;
 
 constexpr int kOk = 200;
 constexpr int kStaleToken = 409;
@@ -80,7 +78,7 @@
 
 void Relay::forward(std::string payload, protocol::Heartbeat heartbeat,
                     transport::Respond respond) {
-  // No more than there can be workers connected, so that memory stays bounded.
+  // Bounds memory: the queue never needs to be longer than the number of workers that can connect.
   if (queue_.size() >= static_cast<size_t>(settings_.sockets)) {
     respond_unavailable(respond);
     return;
@@ -115,7 +113,7 @@
   }
 }
 
-// Takes from the queue what fits one batch, and answers what could not be answered in time.
+// Dequeues as many heartbeats as fit one batch. Those too close to their deadline get 503.
 Relay::Batch Relay::take_batch() {
   const Seconds now = clock_.now();
   const size_t max_bytes = route() == Route::store ? store_relay_.batch_bytes() : kMaxBatchBytes;
@@ -137,14 +135,14 @@
 }
 
 size_t Relay::estimated_bytes(const QueuedHeartbeat& item) const {
-  if (route() == Route::direct) return kUnchangedBytes + item.payload.size();
-  if (acknowledged_sequence(item)) return kUnchangedBytes;
+  if (route() == Route::direct) return kDeltaBytes + item.payload.size();
+  if (acknowledged_sequence(item)) return kDeltaBytes;
   return kCompactBytes + kCompactTaskBytes * item.heartbeat.tasks.size();
 }
 
 std::optional<std::uint64_t> Relay::acknowledged_sequence(const QueuedHeartbeat& item) const {
   if (item.full_payload_requested) return std::nullopt;
-  return acknowledged_.find_unchanged(item.heartbeat);
+  return acknowledged_.find_base_sequence(item.heartbeat);
 }
 
 protocol::RelayedHeartbeat Relay::encode(const QueuedHeartbeat& item, Route route) const {
@@ -182,8 +180,8 @@
   if (route == Route::store) {
     store_relay_.send(message, deadline, on_reply);
   } else {
-    // A repeated batch may find that this controller no longer knows a leader that is a peer; the
-    // call then fails like any other.
+    // On a second attempt, the leader may be unknown by now or no peer; the call to an empty
+    // endpoint then fails like any other.
     client_.call(leader_endpoint_.value_or(""),
                  {"POST", protocol::kRelayPath, protocol::encode_batch(message)},
                  std::max(0.0, deadline - clock_.now()), on_reply);
@@ -198,7 +196,7 @@
       answers = protocol::parse_batch_answers(response.body);
     }
     if (outcome == transport::Outcome::answered && response.status == kStaleToken) {
-      // The leader was elected again and says under which token.
+      // The leader was elected again and returns its new token.
       fencing_token_ = std::max(fencing_token_, protocol::parse_fencing_token(response.body));
       if (attempt == Attempt::first) {
         send_batch(std::move(batch), Attempt::after_stale_token);
@@ -206,7 +204,7 @@
       }
     }
   } catch (const std::exception& error) {
-    spdlog::error("malformed reply to relayed heartbeats: leader={} error={}", leader_,
+    spdlog::error("malformed reply to relayed heartbeat batch: leader={} error={}", leader_,
                   error.what());
   }
   if (answers.size() == batch.size()) {
@@ -255,7 +253,7 @@
 }
 
 void Relay::drop_old_acknowledgements() {
-  const Seconds max_age = settings_.lease_s * kAcknowledgedLeases;
+  const Seconds max_age = settings_.lease_s * kAcknowledgementLeases;
   acknowledged_.drop_older_than(max_age, clock_.now());
   scope_.after(max_age / 2, [this] { drop_old_acknowledgements(); });
 }
--- a/src/coordination/relay/relay.hpp
+++ b/src/coordination/relay/relay.hpp
@@ -1,8 +1,8 @@
-/// Heartbeats that workers send to a controller which does not lead.
+/// Relay of heartbeats that workers send to a controller other than the leader.
 ///
-/// They go to the leader in batches, and each worker gets the leader's own answer to that very
-/// heartbeat, or 503 in time. A relay never answers 200 by itself: only the leader's answer renews
-/// a worker's lease.
+/// Heartbeats are sent to the leader in batches, and each worker gets the leader's answer to its
+/// own heartbeat, or 503 before it times out. A relay never answers 200 by itself: only the
+/// leader's answer renews a worker's lease.
 #pragma once
 
 #include <cstddef>
@@ -26,31 +26,31 @@
 
 using transport::Seconds;
 
-/// Queues heartbeats, sends them to the leader in batches, and hands its answers on.
+/// Queues heartbeats, sends them to the leader in batches, and returns the leader's answers.
 ///
-/// There are two routes: directly to the leader, and by way of the key-value store where a network
-/// partition lies between the two controllers. Heartbeats are answered in no particular order; each
-/// is answered once, at the latest shortly before its worker would stop waiting. What is queued and
-/// under way is bounded.
+/// There are two routes: directly to the leader, and through the key-value store if a network
+/// partition separates the two controllers. Heartbeats are answered in no particular order; each is
+/// answered exactly once, before its worker times out. The queue and the number of batches in
+/// flight are bounded.
 class Relay {
  public:
   Relay(transport::Clock& clock, transport::Client& client, StoreRelayClient& store_relay,
         const Settings& settings);
 
-  /// Who leads, as far as this controller knows (empty: nobody), and its fencing token.
+  /// Sets the leader known to this controller (empty: none) and its fencing token.
   void set_leader(const std::string& member, std::uint64_t fencing_token);
-  /// The leader that was set last; empty: none is known.
+  /// The leader set last; empty if none is known.
   const std::string& leader() const { return leader_; }
-  /// A call of this controller to `member` was answered, or was not.
+  /// Records whether `member` answered a call of this controller.
   void record_peer_reply(const std::string& member, bool answered);
   /// Whether the leader is a peer that has answered this controller recently.
   bool leader_reachable() const;
-  /// Whether batches may go by way of the key-value store, see `uses_store_route`.
+  /// Sets whether batches may be sent through the key-value store, see `uses_store_route`.
   void allow_store_route(bool allowed) { store_route_allowed_ = allowed; }
-  /// Whether batches go by way of the key-value store at present: it is allowed, and the leader is
-  /// known to be alive but cannot be reached.
+  /// Whether batches are currently sent through the key-value store: this is allowed, and the
+  /// leader is known to be alive but unreachable.
   bool uses_store_route() const;
-  /// Passes a heartbeat on; `payload` is its text as the worker sent it.
+  /// Relays a heartbeat; `payload` is the message body as the worker sent it.
   void forward(std::string payload, protocol::Heartbeat heartbeat, transport::Respond respond);
 
  private:
@@ -62,7 +62,7 @@
     protocol::Heartbeat heartbeat;
     transport::Respond respond;
     Seconds deadline = 0;
-    bool full_payload_requested = false;  // by the leader, which cannot decode the delta
+    bool full_payload_requested = false;  // by the leader, which lacks the base
   };
   using Batch = std::vector<QueuedHeartbeat>;
 
@@ -88,15 +88,16 @@
   StoreRelayClient& store_relay_;
   const Settings& settings_;
   std::string leader_;
-  std::optional<std::string> leader_endpoint_;  // none: no leader, or it is not a peer
-  std::uint64_t fencing_token_ = 0;             // the highest known of this leader
+  std::optional<std::string> leader_endpoint_;  // nullopt: no leader, or it is not a peer
+  std::uint64_t fencing_token_ = 0;             // the highest known one of this leader
   LeaderReachability reachability_;
   AcknowledgedHeartbeats acknowledged_;
   bool store_route_allowed_ = false;
   std::deque<QueuedHeartbeat> queue_;
   int batches_in_flight_ = 0;
   bool send_scheduled_ = false;
-  transport::CallbackScope scope_;  // last, so that nothing runs on a relay half destroyed
+  transport::CallbackScope
+      scope_;  // last member: callbacks are dropped before the rest is destroyed
 };
 
 }  // namespace larkroad::coordination
--- a/src/coordination/relay/relay_assignment.cpp
+++ b/src/coordination/relay/relay_assignment.cpp
@@ -6,18 +6,18 @@
 namespace larkroad::coordination {
 namespace {
 
-// The part of a controller's sockets that is meant for workers' connections. The leader takes
-// fewer: it also schedules, and a heartbeat from a relay costs it a fraction of one that comes
-// directly.
+// Fraction of a controller's sockets reserved for workers' connections. The leader has fewer
+// because it also schedules, and because a relayed heartbeat costs it only a fraction of a direct
+// one.
 constexpr double kLeaderSocketRatio = 0.2;
 constexpr double kRelaySocketRatio = 0.4;
-// Workers return to the leader when all of them would fill no more than this part of its capacity.
-// The gap to the full capacity keeps them from being moved to and fro.
+// Workers return to the leader when all of them together would use less than this fraction of its
+// capacity. The gap to the full capacity (hysteresis) prevents repeated moves back and forth.
 constexpr double kReturnRatio = 0.7;
-// A worker that has sent no heartbeat for this many intervals no longer counts where it was.
+// A worker without a heartbeat for this many intervals no longer counts for its controller.
 constexpr double kRecentIntervals = 2.5;
-// A peer counts as a relay for this many intervals after it said so.
-constexpr double kAnnouncedIntervals = 1;
+// A peer counts as a relay for this many intervals after its announcement.
+constexpr double kAnnouncementIntervals = 1;
 
 }  // namespace
 
@@ -61,16 +61,16 @@
                                                             Seconds now) {
   WorkerRoute& route = routes_[machine];
   const bool counted = route.controller == controller && is_recent(route.last_heartbeat_at, now);
-  const size_t count_with_it = worker_count(controller) + (counted ? 0 : 1);
-  if (count_with_it <= capacity(controller)) return std::nullopt;
-  // One that returns from where it was redirected to is served, so that nobody is redirected in
-  // circles.
+  const size_t count_with_worker = worker_count(controller) + (counted ? 0 : 1);
+  if (count_with_worker <= capacity(controller)) return std::nullopt;
+  // A worker that comes back soon after a redirect is served here, which prevents redirect loops.
   if (is_recent(route.redirected_at, now)) return std::nullopt;
   distributed_ = true;
   const PeerSettings* relay = choose_relay(zone, controller, now);
   if (relay == nullptr) return std::nullopt;
   route.redirected_at = now;
-  // Counted at once, so that the next worker sees it; `rebalance` corrects it if it never arrives.
+  // Counted at once, so that the next choice includes it; `rebalance` corrects the count if the
+  // worker never arrives.
   ++worker_counts_[relay->member];
   return relay->member;
 }
@@ -78,7 +78,7 @@
 bool RelayAssignment::is_available_relay(const std::string& member, Seconds now) const {
   const auto announced = relay_announced_at_.find(member);
   return announced != relay_announced_at_.end() &&
-         now - announced->second <= settings_.heartbeat_interval_s * kAnnouncedIntervals &&
+         now - announced->second <= settings_.heartbeat_interval_s * kAnnouncementIntervals &&
          worker_count(member) < relay_capacity_;
 }
 
--- a/src/coordination/relay/relay_assignment.hpp
+++ b/src/coordination/relay/relay_assignment.hpp
@@ -1,4 +1,4 @@
-/// Load balancing of the workers' connections over the controllers.
+/// Load balancing of workers' connections over the controllers.
 #pragma once
 
 #include <cstddef>
@@ -14,39 +14,41 @@
 
 using transport::Seconds;
 
-/// Which controller each worker sends its heartbeats to, as the leader sees it.
+/// Tracks and chooses the controller to which each worker sends its heartbeats; used by the leader.
 ///
-/// While the leader has the capacity for the connections of all workers, they connect to it. Beyond
-/// that they are distributed over the controllers that relay, those in the worker's own zone first.
-/// Owned by Leader, which records every heartbeat here and redirects the worker (421) when told to.
-/// A controller is given by its member name, and the leader itself by an empty string.
+/// Workers connect to the leader as long as it has the capacity for all of them. Beyond that, they
+/// are distributed over the relays, with a preference for the worker's zone. Owned by Leader, which
+/// records every heartbeat here and redirects (421) the workers for which `choose_redirect` names
+/// another controller. Controllers are identified by member name, the leader itself by an empty
+/// string.
 class RelayAssignment {
  public:
   explicit RelayAssignment(const Settings& settings);
 
-  /// Starts anew for a term of leadership. `distributed`: whether the previous leader could not
-  /// serve all workers itself.
+  /// Resets the state for a new term. `distributed`: whether workers are already distributed over
+  /// the controllers, because the previous leader could not serve all of them.
   void reset(bool distributed);
 
-  /// `member` has said that it reaches this leader and relays to it.
+  /// Records that `member` has announced itself as a relay, which reaches this leader.
   void record_relay(const std::string& member, Seconds now) { relay_announced_at_[member] = now; }
-  /// A heartbeat of `machine` has come by way of `controller`.
+  /// Records that a heartbeat of `machine` has arrived through `controller`.
   void record_heartbeat(const std::string& machine, const std::string& controller, Seconds now);
-  /// The controller that the worker on `machine`, in `zone`, is to be redirected to; none: it stays
-  /// with `controller`. To be called for each heartbeat before `record_heartbeat`.
+  /// The controller to which the worker on `machine`, in `zone`, is to be redirected; nullopt if it
+  /// stays with `controller`. To be called for each heartbeat before `record_heartbeat`.
   std::optional<std::string> choose_redirect(const std::string& machine, const std::string& zone,
                                              const std::string& controller, Seconds now);
-  /// Counts the workers of each controller anew, drops machines that no longer report, and decides
-  /// whether the leader can serve all. `machine_count`: of all machines; none while it is unknown.
+  /// Recounts the workers of each controller, drops machines that no longer send heartbeats, and
+  /// decides whether the leader can serve all workers. `machine_count`: the number of all machines;
+  /// nullopt while it is unknown.
   void rebalance(std::optional<size_t> machine_count, Seconds now);
 
-  /// Whether workers are distributed over the controllers at present.
+  /// Whether workers are currently distributed over the controllers.
   bool distributes_workers() const { return distributed_; }
-  /// The most workers that are to connect to `controller`.
+  /// The maximum number of workers that should connect to `controller`.
   size_t capacity(const std::string& controller) const {
     return controller.empty() ? leader_capacity_ : relay_capacity_;
   }
-  /// The workers that connect to `controller`, as counted at present.
+  /// The current number of workers that connect to `controller`.
   size_t worker_count(const std::string& controller) const;
 
  private:
@@ -57,8 +59,8 @@
   };
   bool is_recent(std::optional<Seconds> when, Seconds now) const;
   bool is_available_relay(const std::string& member, Seconds now) const;
-  // The relay with the fewest workers, of those in `zone` first; nullptr: all are full or have not
-  // announced themselves recently.
+  // The relay with the fewest workers, preferably in `zone`; nullptr if all relays are full or have
+  // not announced themselves recently.
   const PeerSettings* choose_relay(const std::string& zone, const std::string& excluded,
                                    Seconds now) const;
 
--- a/src/coordination/relay/slot_pool.hpp
+++ b/src/coordination/relay/slot_pool.hpp
@@ -1,4 +1,4 @@
-/// A fixed number of slots, of which some are taken.
+/// Allocation of a fixed number of slots.
 #pragma once
 
 #include <algorithm>
@@ -8,14 +8,15 @@
 
 namespace larkroad::coordination {
 
-/// Hands out the lowest free slot, so that the same few keys are written again and again.
+/// Always allocates the lowest free slot, so that the keys in the store are reused as far as
+/// possible.
 class SlotPool {
  public:
   explicit SlotPool(size_t count) : taken_(count, false) {}
 
   bool has_free() const { return std::find(taken_.begin(), taken_.end(), false) != taken_.end(); }
 
-  /// Takes the lowest free slot; none: all are taken.
+  /// Takes the lowest free slot; nullopt if all are taken.
   std::optional<size_t> acquire() {
     const auto free = std::find(taken_.begin(), taken_.end(), false);
     if (free == taken_.end()) return std::nullopt;
--- a/src/coordination/relay/store_relay_client.cpp
+++ b/src/coordination/relay/store_relay_client.cpp
@@ -16,12 +16,12 @@
 using storage::Status;
 using transport::Outcome;
 
-// What all relays together may take of the changes that the store allows. Each batch takes two:
-// itself and its answer.
+// Share of the store's allowed changes for all relays together. Each batch takes two changes: the
+// batch and its answer.
 constexpr double kWriteShare = 0.3;
 constexpr double kChangesPerBatch = 2;
 
-// The answer to the batch of this number; the same key may still hold that to an earlier one.
+// Finds the answer to this batch; the key may still hold the answer to an earlier one.
 std::optional<transport::Response> find_answer(const std::vector<storage::Event>& events,
                                                const std::string& key, std::uint64_t number) {
   for (const auto& event : events) {
@@ -39,7 +39,7 @@
     : clock_(clock),
       store_(store),
       settings_(settings),
-      // Later than any that an earlier process of this controller has used.
+      // Starts at the time in ms, above any number that an earlier process of this controller used.
       next_number_(static_cast<std::uint64_t>(clock.unix_time() * 1000)),
       slots_(static_cast<size_t>(settings.lasting_store_limits().max_transaction_changes)),
       scope_(clock) {}
@@ -63,7 +63,7 @@
     scope_.after(0, [on_reply = std::move(on_reply)] { on_reply(Outcome::not_sent, {}); });
     return;
   }
-  spdlog::debug("heartbeats relayed by way of the key-value store: batch={} heartbeats={}",
+  spdlog::debug("heartbeat batch relayed through the key-value store: batch={} heartbeats={}",
                 record.number, batch.heartbeats.size());
   const BatchInFlight in_flight{*slot, record.number, deadline, std::move(on_reply)};
   storage::Transaction transaction;
@@ -109,7 +109,7 @@
                               const transport::Response& response) {
   slots_.release(batch.slot);
   if (outcome != Outcome::answered) {
-    spdlog::debug("heartbeats relayed by way of the key-value store unanswered: batch={}",
+    spdlog::debug("heartbeat batch relayed through the key-value store not answered: batch={}",
                   batch.number);
   }
   batch.on_reply(outcome, response);
--- a/src/coordination/relay/store_relay_client.hpp
+++ b/src/coordination/relay/store_relay_client.hpp
@@ -1,11 +1,11 @@
-/// The relay's side of the route to the leader by way of the key-value store.
+/// The relay's side of the route to the leader through the key-value store.
 ///
-/// Where a network partition lies between two zones, a relay in one cannot reach a leader in the
+/// During a network partition between two zones, a relay in one zone cannot reach a leader in the
 /// other, while both reach the store. The relay then writes its batch to a key of its own
-/// (`q/MEMBER/SLOT`); the leader sees it by a watch and writes its answer to another
-/// (`a/MEMBER/SLOT`). Batch and answer are the same as on the direct route, so what holds for
-/// relays holds here, too: only the leader's own answer renews a lease, and late copies of a batch
-/// change nothing. The leader's side is StoreRelayServer.
+/// (`q/MEMBER/SLOT`); the leader receives it from a watch and writes its answer to another key
+/// (`a/MEMBER/SLOT`). Batch and answer are the same as on the direct route, with the same
+/// guarantees: only the leader's own answer renews a lease, and late duplicates of a batch have no
+/// effect. The leader's side is StoreRelayServer.
 #pragma once
 
 #include <cstddef>
@@ -24,33 +24,33 @@
 
 /// Writes batches of heartbeats for the leader and waits for its answers.
 ///
-/// As many batches may be in flight as a transaction of the store may have changes; each takes a
-/// slot. Owned by the controller, used by Relay.
+/// The number of batches in flight is limited to the store's limit on changes per transaction; each
+/// batch takes a slot. Owned by the controller, used by Relay.
 class StoreRelayClient {
  public:
   StoreRelayClient(transport::Clock& clock, storage::KeyValueClient& store,
                    const Settings& settings);
 
   bool has_free_slot() const { return slots_.has_free(); }
-  /// How many bytes of heartbeats one batch may hold.
+  /// The maximum size of the heartbeats of one batch.
   size_t batch_bytes() const;
-  /// For how long heartbeats are to be gathered. One batch of every relay in that time takes a
-  /// small part of the changes that the store allows. Several batches in one such time take more,
-  /// bounded by this controller's own part of the changes.
+  /// How long to gather heartbeats for a batch. One batch per relay in this time uses only a small
+  /// share of the changes that the store allows. Several batches within it use more, bounded by
+  /// this controller's own share of the changes.
   Seconds gather_time() const;
-  /// Calls `on_reply` with the leader's answer, or with another outcome when there is none by
-  /// `deadline`. Never calls it before it returns.
+  /// Calls `on_reply` with the leader's answer, or with another outcome if there is none by
+  /// `deadline`. Never calls it synchronously.
   void send(const protocol::RelayBatch& batch, Seconds deadline, transport::OnReply on_reply);
 
  private:
   struct BatchInFlight {
     size_t slot = 0;
-    std::uint64_t number = 0;  // tells its answer from those to earlier batches of the same slot
+    std::uint64_t number = 0;  // distinguishes its answer from those to earlier batches of the slot
     Seconds deadline = 0;
     transport::OnReply on_reply;
   };
   void await_answer(const BatchInFlight& batch, std::uint64_t since_revision);
-  // Whether the answer to the batch is among the events; the batch is then over.
+  // Finishes the batch and returns true if the events contain its answer.
   bool deliver_answer(const BatchInFlight& batch, const storage::WatchReply& reply);
   void finish(const BatchInFlight& batch, transport::Outcome outcome,
               const transport::Response& response);
--- a/src/coordination/relay/store_relay_limits.hpp
+++ b/src/coordination/relay/store_relay_limits.hpp
@@ -1,10 +1,10 @@
-/// What both sides of the route by way of the key-value store keep to.
+/// Limits that both sides of the route through the key-value store observe.
 #pragma once
 
 namespace larkroad::coordination {
 
-/// The part of a value's largest size that heartbeats, or the answers to them, may fill; the rest
-/// is for what the record has around them.
+/// Fraction of the maximum value size available to heartbeats, or to the answers to them; the rest
+/// is for the other fields of the record.
 inline constexpr double kRelayFillRatio = 0.75;
 
 }  // namespace larkroad::coordination
--- a/src/coordination/relay/store_relay_server.cpp
+++ b/src/coordination/relay/store_relay_server.cpp
@@ -12,16 +12,16 @@
 
 using storage::Status;
 
-// The watch for batches is opened anew after this part of the workers' lease.
+// Duration of one watch request, and delay before a retry, as fractions of the workers' lease.
 constexpr double kWatchLeaseRatio = 1.0 / 2;
 constexpr double kRetryLeaseRatio = 1.0 / 16;
 
 constexpr int kOk = 200;
 constexpr int kUnavailable = 503;
 
-// Shortens answers that together are too large for a value: the last workers get 503 and report
-// again.
-std::string fit_answers(const std::string& body, double max_bytes) {
+// Reduces answers that are too large for one value: the last workers get 503 instead and send their
+// heartbeats again.
+std::string truncate_answers(const std::string& body, double max_bytes) {
   auto answers = protocol::parse_batch_answers(body);
   std::string out = body;
   for (size_t i = answers.size(); i > 0 && static_cast<double>(out.size()) > max_bytes; --i) {
@@ -31,10 +31,11 @@
   return out;
 }
 
-// The slot in the key of a batch; throws if the key is not one of `member`.
+// The slot in the key of a batch; throws if the key does not belong to `member`.
 std::string slot_of(const std::string& key, const std::string& member) {
   const std::string prefix = storage::relay_request_key(member, "");
-  if (!key.starts_with(prefix)) throw protocol::Malformed("a batch of " + member);
+  if (!key.starts_with(prefix))
+    throw protocol::Malformed("the key does not belong to member " + member);
   return key.substr(prefix.size());
 }
 
@@ -51,12 +52,12 @@
 
 void StoreRelayServer::begin() {
   scope_.restart();
-  find_revision();
+  find_current_revision();
 }
 
 void StoreRelayServer::end() { scope_.restart(); }
 
-void StoreRelayServer::find_revision() {
+void StoreRelayServer::find_current_revision() {
   store_.list(storage::kRelayRequestPrefix, "",
               scope_.wrap([this](const storage::ListReply& reply) {
                 if (reply.status == Status::ok) {
@@ -68,7 +69,7 @@
 }
 
 void StoreRelayServer::retry_later() {
-  scope_.after(settings_.lease_s * kRetryLeaseRatio, [this] { find_revision(); });
+  scope_.after(settings_.lease_s * kRetryLeaseRatio, [this] { find_current_revision(); });
 }
 
 void StoreRelayServer::watch(std::uint64_t since_revision) {
@@ -79,7 +80,8 @@
                    retry_later();
                    return;
                  }
-                 // Handling a batch can end the leadership, if it tells of a newer leader.
+                 // Handling a batch can end this term, if the batch shows that there is a newer
+                 // leader.
                  const auto is_current = scope_.is_current();
                  for (const auto& event : reply.events) handle(event);
                  if (is_current()) watch(std::max(since_revision, reply.revision));
@@ -97,16 +99,16 @@
                write_answer(source, response);
              }));
   } catch (const std::exception& error) {
-    spdlog::error("unusable batch of relayed heartbeats: key={} error={}", event.key, error.what());
+    spdlog::error("invalid batch of relayed heartbeats: key={} error={}", event.key, error.what());
   }
 }
 
-// Guarded by the leader's key, so that a deposed leader answers nothing.
+// The leader key is a precondition, so that a deposed leader cannot answer.
 void StoreRelayServer::write_answer(const BatchSource& source,
                                     const transport::Response& response) {
   const double max_bytes = settings_.lasting_store_limits().value_bytes() * kRelayFillRatio;
   const std::string body =
-      response.status == kOk ? fit_answers(response.body, max_bytes) : response.body;
+      response.status == kOk ? truncate_answers(response.body, max_bytes) : response.body;
   storage::Transaction transaction;
   transaction.preconditions.push_back({storage::kLeaderKey, fencing_token_()});
   transaction.writes.push_back(
--- a/src/coordination/relay/store_relay_server.hpp
+++ b/src/coordination/relay/store_relay_server.hpp
@@ -1,4 +1,4 @@
-/// The leader's side of the route by way of the key-value store; see store_relay_client.hpp.
+/// The leader's side of the route through the key-value store; see store_relay_client.hpp.
 #pragma once
 
 #include <cstdint>
@@ -15,34 +15,35 @@
 
 using transport::Seconds;
 
-/// Watches for batches that relays have written, and writes the leader's answers to them.
+/// Watches for batches that relays write, and writes the leader's answers to them.
 ///
-/// Owned by the controller, which begins it when it becomes the leader and ends it when it no
-/// longer is. Batches that were written before are left alone: they were meant for an earlier
-/// leader, or nobody waits for them any more.
+/// Owned by the controller, which calls `begin` when it is elected and `end` when it is deposed.
+/// Batches written before `begin` are ignored: they were meant for an earlier leader, or their
+/// relays no longer wait for an answer.
 class StoreRelayServer {
  public:
-  /// Handles a batch; throws what makes it unusable, which is logged.
+  /// Handles a batch; throws if it is invalid, which is logged.
   using Handler = std::function<void(const protocol::RelayBatch&, transport::Respond)>;
 
-  /// `fencing_token` gives the leader's present one, by which answers are guarded.
+  /// `fencing_token` returns the leader's current token, which is a precondition of writing
+  /// answers.
   StoreRelayServer(transport::Clock& clock, storage::KeyValueClient& store,
                    const Settings& settings, std::function<std::uint64_t()> fencing_token,
                    Handler handler);
 
-  /// Watches from now on.
+  /// Starts watching.
   void begin();
-  /// No longer watches; batches that are being handled get no answer.
+  /// Stops watching; batches that are still being handled get no answer.
   void end();
 
  private:
   struct BatchSource {
     std::string member;
     std::string slot;
-    std::uint64_t number = 0;  // by which the relay tells a late answer
+    std::uint64_t number = 0;  // lets the relay recognize late answers
   };
-  // Finds the store's present revision, from which to watch.
-  void find_revision();
+  // Reads the store's current revision and watches from there.
+  void find_current_revision();
   void retry_later();
   void watch(std::uint64_t since_revision);
   void handle(const storage::Event& event);
@@ -52,7 +53,7 @@
   const Settings& settings_;
   std::function<std::uint64_t()> fencing_token_;
   Handler handler_;
-  transport::CallbackScope scope_;  // of this term of leadership
+  transport::CallbackScope scope_;  // of the current term
 };
 
 }  // namespace larkroad::coordination
--- a/tests/peer_registry_test.cpp
+++ b/tests/peer_registry_test.cpp
@@ -1,4 +1,4 @@
-// What a controller knows of its peers by their reports.
+// What a controller learns from its peers' reports and from leader announcements.
 #include "coordination/membership/peer_registry.hpp"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
     registry.observe(status, now);
   }
   std::string next(Seconds now = kReportedAt) {
-    const PeerSettings* peer = registry.next_with_store(now);
+    const PeerSettings* peer = registry.next_with_store_access(now);
     return peer != nullptr ? peer->member : "";
   }
 
@@ -30,10 +30,10 @@
   PeerRegistry registry{settings};
 };
 
-TEST_F(PeerRegistryTest, PeersAreThoseOfTheSettings) {
+TEST_F(PeerRegistryTest, PeersAreTheConfiguredMembers) {
   EXPECT_TRUE(registry.is_peer("node-1"));
   EXPECT_TRUE(registry.is_peer("node-2"));
-  EXPECT_FALSE(registry.is_peer("node-0"));  // itself
+  EXPECT_FALSE(registry.is_peer("node-0"));  // this controller
   EXPECT_FALSE(registry.is_peer("node-7"));
 }
 
@@ -43,7 +43,7 @@
   EXPECT_EQ(next(0), "");
 }
 
-TEST_F(PeerRegistryTest, PeersWithTheStoreAreChosenInTurn) {
+TEST_F(PeerRegistryTest, PeersWithStoreAccessAreChosenRoundRobin) {
   report("node-1", true);
   report("node-2", true);
   EXPECT_EQ(next(), "node-1");
@@ -51,7 +51,7 @@
   EXPECT_EQ(next(), "node-1");
 }
 
-TEST_F(PeerRegistryTest, PeersWithoutTheStoreAreNotChosen) {
+TEST_F(PeerRegistryTest, PeersWithoutStoreAccessAreNotChosen) {
   report("node-1", false, true);
   EXPECT_FALSE(registry.any_has_store(kReportedAt));
   EXPECT_FALSE(registry.any_receives_heartbeats(kReportedAt));
@@ -62,15 +62,15 @@
   EXPECT_FALSE(registry.any_receives_heartbeats(kReportedAt));
 }
 
-TEST_F(PeerRegistryTest, AReportCountsForOneHeartbeatInterval) {
+TEST_F(PeerRegistryTest, ReportsExpireAfterOneHeartbeatInterval) {
   report("node-1", true, true);
-  const Seconds last = kReportedAt + settings.heartbeat_interval_s;
-  EXPECT_TRUE(registry.any_has_store(last - 0.01));
-  EXPECT_TRUE(registry.any_receives_heartbeats(last - 0.01));
-  EXPECT_EQ(next(last - 0.01), "node-1");
-  EXPECT_FALSE(registry.any_has_store(last));
-  EXPECT_FALSE(registry.any_receives_heartbeats(last));
-  EXPECT_EQ(next(last), "");
+  const Seconds expiry = kReportedAt + settings.heartbeat_interval_s;
+  EXPECT_TRUE(registry.any_has_store(expiry - 0.01));
+  EXPECT_TRUE(registry.any_receives_heartbeats(expiry - 0.01));
+  EXPECT_EQ(next(expiry - 0.01), "node-1");
+  EXPECT_FALSE(registry.any_has_store(expiry));
+  EXPECT_FALSE(registry.any_receives_heartbeats(expiry));
+  EXPECT_EQ(next(expiry), "");
 }
 
 class LeaderAnnouncementsTest : public ::testing::Test {
@@ -79,10 +79,10 @@
   LeaderAnnouncements announcements{settings};
 };
 
-TEST_F(LeaderAnnouncementsTest, TheNewestOneCountsForOneHeartbeatInterval) {
+TEST_F(LeaderAnnouncementsTest, TheNewestExpiresAfterOneHeartbeatInterval) {
   EXPECT_EQ(announcements.current(0, 0), nullptr);
   announcements.received("node-1", 5, true, kReportedAt);
-  announcements.received("node-2", 4, false, kReportedAt);  // of an earlier leadership
+  announcements.received("node-2", 4, false, kReportedAt);  // of an earlier term
   const auto* current = announcements.current(4, kReportedAt);
   ASSERT_NE(current, nullptr);
   EXPECT_EQ(current->member, "node-1");
@@ -91,14 +91,14 @@
   EXPECT_EQ(announcements.current(4, kReportedAt + settings.heartbeat_interval_s), nullptr);
 }
 
-TEST_F(LeaderAnnouncementsTest, TheStoreCountsMoreWhenItHasShownTheSameLeadershipOrANewerOne) {
+TEST_F(LeaderAnnouncementsTest, AreIgnoredOnceTheStoreHasShownTheSameOrANewerTerm) {
   announcements.received("node-1", 5, false, kReportedAt);
   EXPECT_NE(announcements.current(4, kReportedAt), nullptr);
   EXPECT_EQ(announcements.current(5, kReportedAt), nullptr);
   EXPECT_EQ(announcements.current(6, kReportedAt), nullptr);
 }
 
-TEST_F(LeaderAnnouncementsTest, KeepWhatThisControllerHasSentApart) {
+TEST_F(LeaderAnnouncementsTest, SentAndReceivedOnesAreTrackedSeparately) {
   announcements.sent(true);
   EXPECT_TRUE(announcements.workers_distributed());
   EXPECT_TRUE(announcements.last_sent());
--- a/tests/relay_scenarios_test.cpp
+++ b/tests/relay_scenarios_test.cpp
@@ -1,4 +1,4 @@
-// Runs in which workers report by way of relays, as controllers have few sockets.
+// Scenarios in which workers send heartbeats through relays, because controllers have few sockets.
 #include <gtest/gtest.h>
 
 #include "sim/scenario.hpp"
@@ -6,7 +6,7 @@
 namespace larkroad::sim {
 namespace {
 
-// A controller then takes eight workers; there are up to thirty.
+// With this limit a controller accepts eight workers; there are up to thirty.
 constexpr int kFewSockets = 20;
 
 const Scenario kRelayScenarios[] = {
@@ -18,8 +18,9 @@
       .duplicated_heartbeats = 0.1,
       .sockets = kFewSockets},
      [](World&) {}},
-    // Launches go in answers that are under way for seconds, as the leader's own calls fail now and
-    // then, while gangs fall apart and their tasks are stopped by those calls that arrive.
+    // Launch commands travel in heartbeat responses delayed by seconds, because some of the
+    // leader's direct calls fail. Meanwhile gangs lose tasks, and the direct calls that do arrive
+    // stop the rest.
     {"relays_with_slow_answers",
      {.max_request_delay = 20,
       .cancelled_jobs = 0,
@@ -61,7 +62,7 @@
                      [&world, k](size_t leader) { world.crash(leader, k % 2 == 0 ? 0.2 : 4); });
        }
      }},
-    {"relays_back_at_once",
+    {"relays_restart_quickly",
      {.lost_responses = 0.005,
       .delayed_requests = 0.005,
       .max_request_delay = 30,
@@ -88,7 +89,7 @@
          });
        }
      }},
-    {"peers_refuse_with_relays",
+    {"controllers_partitioned_with_relays",
      {.lost_responses = 0.005,
       .delayed_requests = 0.005,
       .max_request_delay = 30,
@@ -104,7 +105,7 @@
          });
        }
      }},
-    {"relay_has_only_its_workers",
+    {"relay_isolated_from_store_and_peers",
      {.lost_responses = 0.002,
       .delayed_requests = 0.005,
       .max_request_delay = 30,
@@ -118,7 +119,7 @@
          with_leader(world, when + 8, [&world](size_t leader) { world.crash(leader, 4); });
        }
      }},
-    {"relays_stand_still",
+    {"relays_paused",
      {.lost_responses = 0.005,
       .delayed_requests = 0.01,
       .max_request_delay = 30,
@@ -139,15 +140,16 @@
 
 class RelayScenario : public ::testing::TestWithParam<Scenario> {};
 
-TEST_P(RelayScenario, KeepsTheRulesAndFinishes) {
+TEST_P(RelayScenario, KeepsInvariantsAndFinishes) {
   for (const std::uint64_t seed : {1, 2, 3}) run_and_verify(GetParam(), seed);
 }
 
 INSTANTIATE_TEST_SUITE_P(Scenarios, RelayScenario, ::testing::ValuesIn(kRelayScenarios),
                          [](const auto& info) { return std::string(info.param.name); });
 
-// Only a peer's batch with the leader's own fencing token is answered; nothing else renews a lease.
-TEST(RelayBatches, AreAcceptedFromPeersForThisTermOnly) {
+// Only a batch from a peer with the leader's current fencing token is answered; nothing else may
+// renew a lease.
+TEST(RelayBatches, AreAcceptedOnlyFromPeersAndForTheCurrentTerm) {
   World world(1, {});
   world.run(10);
   const size_t leader = world.leader();
@@ -165,7 +167,7 @@
     int status;
   } cases[] = {
       {"not a peer", leader, "node-7", fencing_token, 400},
-      {"itself", leader, controller_name(leader), fencing_token, 400},
+      {"the leader itself", leader, controller_name(leader), fencing_token, 400},
       {"an earlier term", leader, peer, fencing_token - 1, 409},
       {"a later term", leader, peer, fencing_token + 1, 409},
       {"a controller that does not lead", (leader + 1) % kControllers,
@@ -189,8 +191,8 @@
   EXPECT_EQ(got.status, 400);
 }
 
-// With few sockets most workers report by way of relays, and with many none does.
-TEST(RelayAssignment, IsUsedOnlyWhenSocketsAreShort) {
+// With few sockets most workers send heartbeats through relays; with many sockets none does.
+TEST(RelayAssignment, IsUsedOnlyWhenSocketsAreScarce) {
   for (const int sockets : {kFewSockets, 200}) {
     FaultOptions faults;
     faults.sockets = sockets;
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -1,4 +1,4 @@
-/// The relay of heartbeats to the leader, and the batches that it sends.
+/// Relay of heartbeats to the leader, and the encoding of its batches.
 #include "coordination/relay/relay.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 using transport::Request;
 using transport::Response;
 
-TEST(RelayBatches, ComeBackAsTheyWere) {
+TEST(RelayBatches, RoundTripThroughTheEncoding) {
   const protocol::RelayBatch batch{
       "node-1", 7, {{R"({"perch":"i-1"})", "", 0, 0, 0}, {"", "i-2", 1, 9, 8}}};
   const auto back = protocol::parse_batch(protocol::encode_batch(batch));
@@ -29,7 +29,7 @@
   EXPECT_EQ(back.heartbeats[1].base_sequence, 8u);
 }
 
-TEST(RelayBatches, MalformedOnesAreRefused) {
+TEST(RelayBatches, MalformedBatchesAreRejected) {
   for (const char* body :
        {"", "[]", "{}", R"({"member":"node-1","token":1})",
         R"({"member":"node-1","token":-1,"reports":[]})",
@@ -46,7 +46,7 @@
     std::string endpoint;
     protocol::RelayBatch batch;
     Seconds timeout;
-    transport::OnReply reply;
+    transport::OnReply on_reply;
   };
   void call(const std::string& endpoint, Request request, Seconds timeout,
             transport::OnReply reply) override {
@@ -59,17 +59,17 @@
  protected:
   RelayTest()
       : settings(testing::settings()),
-        state(clock, client, settings),
-        store(clock, state, settings),
-        relay(clock, client, store, settings) {
+        store(clock, client, settings),
+        store_relay(clock, store, settings),
+        relay(clock, client, store_relay, settings) {
     relay.set_leader("node-1", 5);
     relay.record_peer_reply("node-1", true);
   }
-  void heartbeat(std::uint64_t sequence, const std::string& legs = "[]") {
+  void send_heartbeat(std::uint64_t sequence, const std::string& tasks = "[]") {
     const std::string payload =
         R"({"perch":"i-1","address":"10.1.0.1:9000","breed":"small","yard":"east","loaners":false,)"
         R"("flight":1,"tick":)" +
-        std::to_string(sequence) + R"(,"baton":5,"recallS":null,"legs":)" + legs + "}";
+        std::to_string(sequence) + R"(,"baton":5,"recallS":null,"legs":)" + tasks + "}";
     relay.forward(payload, protocol::parse_heartbeat(payload),
                   [this](Response response) { responses.push_back(std::move(response)); });
     clock.run_for(settings.heartbeat_interval_s / 50);
@@ -78,42 +78,42 @@
     auto call = std::move(client.calls.front());
     client.calls.pop_front();
     std::vector<protocol::RelayedAnswer> answers(call.batch.heartbeats.size(), {status, body});
-    call.reply(Outcome::answered, {200, protocol::encode_batch_answers(answers), 0});
+    call.on_reply(Outcome::answered, {200, protocol::encode_batch_answers(answers), 0});
   }
   Settings settings;
   testing::ManualClock clock{100, 0};
   FakeClient client;
-  storage::KeyValueClient state;
-  StoreRelayClient store;
+  storage::KeyValueClient store;
+  StoreRelayClient store_relay;
   Relay relay;
   std::vector<Response> responses;
 };
 
-TEST_F(RelayTest, HandsOnTheLeadersAnswerAndSendsUnchangedHeartbeatsAsDeltas) {
-  heartbeat(1);
+TEST_F(RelayTest, ReturnsTheLeadersAnswerAndSendsUnchangedHeartbeatsAsDeltas) {
+  send_heartbeat(1);
   ASSERT_EQ(client.calls.size(), 1u);
   EXPECT_EQ(client.calls[0].endpoint, "127.0.0.2:18081");
   EXPECT_FALSE(client.calls[0].batch.heartbeats[0].payload.empty());
-  EXPECT_TRUE(responses.empty());  // nothing by itself
+  EXPECT_TRUE(responses.empty());  // the relay answers nothing by itself
   answer(200, "the leader's answer");
   ASSERT_EQ(responses.size(), 1u);
   EXPECT_EQ(responses[0].status, 200);
   EXPECT_EQ(responses[0].body, "the leader's answer");
 
-  heartbeat(2);
+  send_heartbeat(2);
   EXPECT_TRUE(client.calls[0].batch.heartbeats[0].payload.empty());
   EXPECT_EQ(client.calls[0].batch.heartbeats[0].sequence, 2u);
   EXPECT_EQ(client.calls[0].batch.heartbeats[0].base_sequence, 1u);
   answer(200);
-  // Once something has changed the payload goes again.
-  heartbeat(3, R"([{"leg":"job-1/0","try":1,"stage":"running"}])");
+  // A changed heartbeat is sent in full again.
+  send_heartbeat(3, R"([{"leg":"job-1/0","try":1,"stage":"running"}])");
   EXPECT_FALSE(client.calls[0].batch.heartbeats[0].payload.empty());
 }
 
-TEST_F(RelayTest, SendsThePayloadToALeaderWithoutTheEarlierHeartbeat) {
-  heartbeat(1);
+TEST_F(RelayTest, SendsThePayloadToALeaderThatLacksTheBaseHeartbeat) {
+  send_heartbeat(1);
   answer(200);
-  heartbeat(2);
+  send_heartbeat(2);
   ASSERT_TRUE(client.calls[0].batch.heartbeats[0].payload.empty());
   answer(protocol::kNeedsPayload, "");
   EXPECT_EQ(responses.size(), 1u);
@@ -124,38 +124,38 @@
   EXPECT_EQ(responses.back().status, 200);
 }
 
-TEST_F(RelayTest, Answers503InTimeWhenTheLeaderDoesNotAnswer) {
+TEST_F(RelayTest, Responds503InTimeWhenTheLeaderGivesNoValidAnswer) {
   const struct {
     const char* what;
-    std::function<void(FakeClient::Call&)> reply;
+    std::function<void(FakeClient::Call&)> on_reply;
   } cases[] = {
-      {"no answer", [](auto& call) { call.reply(Outcome::unknown, {}); }},
-      {"not sent", [](auto& call) { call.reply(Outcome::not_sent, {}); }},
+      {"no answer", [](auto& call) { call.on_reply(Outcome::unknown, {}); }},
+      {"not sent", [](auto& call) { call.on_reply(Outcome::not_sent, {}); }},
       {"no longer leads",
        [](auto& call) {
-         call.reply(Outcome::answered, {421, "{}", 0});
+         call.on_reply(Outcome::answered, {421, "{}", 0});
        }},
-      {"refuses",
+      {"rejects the batch",
        [](auto& call) {
-         call.reply(Outcome::answered, {400, "{}", 0});
+         call.on_reply(Outcome::answered, {400, "{}", 0});
        }},
-      {"nonsense",
+      {"malformed answer",
        [](auto& call) {
-         call.reply(Outcome::answered, {200, "?", 0});
+         call.on_reply(Outcome::answered, {200, "?", 0});
        }},
       {"too few answers",
        [](auto& call) {
-         call.reply(Outcome::answered, {200, R"({"answers":[]})", 0});
+         call.on_reply(Outcome::answered, {200, R"({"answers":[]})", 0});
        }},
   };
   for (const auto& c : cases) {
     responses.clear();
-    heartbeat(1);
+    send_heartbeat(1);
     ASSERT_EQ(client.calls.size(), 1u) << c.what;
-    EXPECT_LE(client.calls[0].timeout, 2) << c.what;  // workers wait for 4 s
+    EXPECT_LE(client.calls[0].timeout, 2) << c.what;  // workers time out after 4 s
     auto call = std::move(client.calls.front());
     client.calls.pop_front();
-    c.reply(call);
+    c.on_reply(call);
     ASSERT_EQ(responses.size(), 1u) << c.what;
     EXPECT_EQ(responses[0].status, 503) << c.what;
     EXPECT_FALSE(relay.leader_reachable()) << c.what;
@@ -164,26 +164,26 @@
 }
 
 TEST_F(RelayTest, RetriesOnceWithTheLeadersNewFencingToken) {
-  heartbeat(1);
+  send_heartbeat(1);
   EXPECT_EQ(client.calls[0].batch.fencing_token, 5u);
   auto call = std::move(client.calls.front());
   client.calls.pop_front();
-  call.reply(Outcome::answered, {409, protocol::encode_fencing_token(9), 0});
+  call.on_reply(Outcome::answered, {409, protocol::encode_fencing_token(9), 0});
   ASSERT_EQ(client.calls.size(), 1u);
   EXPECT_EQ(client.calls[0].batch.fencing_token, 9u);
-  // But only once for one batch.
+  // Each batch is retried only once.
   call = std::move(client.calls.front());
   client.calls.pop_front();
-  call.reply(Outcome::answered, {409, protocol::encode_fencing_token(11), 0});
+  call.on_reply(Outcome::answered, {409, protocol::encode_fencing_token(11), 0});
   EXPECT_TRUE(client.calls.empty());
   ASSERT_EQ(responses.size(), 1u);
   EXPECT_EQ(responses[0].status, 503);
 }
 
-TEST_F(RelayTest, QueueIsBoundedAndAnsweredInTime) {
-  // Two batches go unanswered; what comes meanwhile is queued, up to the bound.
-  heartbeat(1);
-  heartbeat(2);
+TEST_F(RelayTest, QueueIsBoundedAndRespondsInTime) {
+  // While two batches are unanswered, further heartbeats are queued, up to the bound.
+  send_heartbeat(1);
+  send_heartbeat(2);
   ASSERT_EQ(client.calls.size(), 2u);
   for (int i = 0; i < settings.sockets + 10; ++i) {
     relay.forward("{}", {},
@@ -194,7 +194,7 @@
   for (int i = 0; i < 2; ++i) {
     auto call = std::move(client.calls.front());
     client.calls.pop_front();
-    call.reply(Outcome::unknown, {});
+    call.on_reply(Outcome::unknown, {});
   }
   clock.run_for(settings.heartbeat_interval_s / 50);
   EXPECT_EQ(responses.size(), 12u + static_cast<size_t>(settings.sockets));
--- a/tests/store_relay_test.cpp
+++ b/tests/store_relay_test.cpp
@@ -1,5 +1,4 @@
-/// Heartbeats that reach the leader by way of the key-value store, where a network partition lies
-/// between two zones.
+/// Heartbeats relayed through the key-value store while a network partition separates two zones.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -9,7 +8,7 @@
 namespace larkroad::sim {
 namespace {
 
-JobSpec in_zone(const std::string& id, const std::string& zone, Seconds run) {
+JobSpec job_in_zone(const std::string& id, const std::string& zone, Seconds run) {
   JobSpec spec = testing::spec(id, 4, 2);
   spec.zone = zone;
   spec.team = "blue";
@@ -17,14 +16,15 @@
   return spec;
 }
 
-// Two jobs that run on, one in each zone, and a cut that lasts for three leases.
-class ZonesApart : public ::testing::Test {
+// Two long-running jobs, one in each zone, and a network partition between the zones that lasts
+// for about three of the workers' leases.
+class ZonePartitionTest : public ::testing::Test {
  protected:
-  ZonesApart() : world(1, {}) {
-    world.users.submit(in_zone("job-1", "east", 200), 2);
-    world.users.submit(in_zone("job-2", "west", 200), 2);
+  ZonePartitionTest() : world(1, {}) {
+    world.users.submit(job_in_zone("job-1", "east", 200), 2);
+    world.users.submit(job_in_zone("job-2", "west", 200), 2);
   }
-  void cut(Seconds length) {
+  void partition_zones(Seconds length) {
     world.run(30);
     ASSERT_EQ(world.tasks.running_tasks("job-1"), 4u);
     ASSERT_EQ(world.tasks.running_tasks("job-2"), 4u);
@@ -33,8 +33,8 @@
   World world;
 };
 
-TEST_F(ZonesApart, WhatRunsInTheOtherZoneGoesOn) {
-  cut(36);
+TEST_F(ZonePartitionTest, TasksInTheOtherZoneKeepRunning) {
+  partition_zones(36);
   world.run(66);
   EXPECT_EQ(world.tasks.starts_of("job-1").size(), 4u);
   EXPECT_EQ(world.tasks.starts_of("job-2").size(), 4u);
@@ -44,9 +44,10 @@
   expect_no_violations(world);
 }
 
-// The rules give it `cancellation_limit_s`; the leader's answers bring it within a few reports.
-TEST_F(ZonesApart, ACancellationReachesTheOtherZone) {
-  cut(40);
+// The limit is `cancellation_limit_s`, but the leader's answers carry the cancellation within a few
+// heartbeats.
+TEST_F(ZonePartitionTest, CancellationsReachTheOtherZone) {
+  partition_zones(40);
   world.run(45);
   world.users.cancel("job-1");
   world.users.cancel("job-2");
@@ -55,11 +56,11 @@
   expect_no_violations(world);
 }
 
-TEST_F(ZonesApart, WorkStartsInTheOtherZoneOnceItsMachinesReport) {
-  cut(40);
+TEST_F(ZonePartitionTest, TasksStartInTheOtherZoneOnceItsMachinesSendHeartbeats) {
+  partition_zones(40);
   world.run(50);
-  JobSpec east = in_zone("job-3", "east", 5);
-  JobSpec west = in_zone("job-4", "west", 5);
+  JobSpec east = job_in_zone("job-3", "east", 5);
+  JobSpec west = job_in_zone("job-4", "west", 5);
   east.tasks = west.tasks = 1;
   east.cpus = west.cpus = 0.5;
   world.users.submit(east, 50);
@@ -70,17 +71,18 @@
   expect_no_violations(world);
 }
 
-// A leader of the first version looks for no batches: its relays must not hold workers for it.
-TEST_F(ZonesApart, NoBatchIsWrittenForALeaderOfTheFirstVersion) {
+// A leader of the first version does not watch for batches, so relays must not accept workers'
+// heartbeats for it.
+TEST_F(ZonePartitionTest, NoBatchIsWrittenForALeaderOfTheFirstVersion) {
   for (size_t i = 0; i < 3; ++i) world.run_first_version(i);
   world.run(5);
   for (size_t i = 0; i < 3; ++i) {
     if (i != world.leader()) world.upgrade_controller(i, 0.5);
   }
-  cut(30);
+  partition_zones(30);
   world.run(60);
   EXPECT_FALSE(world.store.has_keys("q/"));
-  // Which shows what the cut costs without.
+  // Without this route, the partition causes restarts of tasks.
   world.run(100);
   EXPECT_GT(world.tasks.starts_of("job-1").size() + world.tasks.starts_of("job-2").size(), 8u);
   world.run(500);
@@ -88,8 +90,8 @@
   expect_no_violations(world);
 }
 
-const Scenario kCuts[] = {
-    {"again_and_again",
+const Scenario kZonePartitionScenarios[] = {
+    {"repeated",
      {.lost_responses = 0.005,
       .delayed_requests = 0.005,
       .max_request_delay = 20,
@@ -116,7 +118,7 @@
          });
        }
      }},
-    {"while_the_state_service_is_late_and_out",
+    {"with_store_outages_and_delayed_watches",
      {.lost_responses = 0.01,
       .delayed_requests = 0.02,
       .max_request_delay = 20,
@@ -132,7 +134,7 @@
          world.events.schedule_at(when + 16, [&world] { world.users.cancel_running_jobs(3); });
        }
      }},
-    {"with_copies_of_reports_and_lost_machines",
+    {"with_duplicated_heartbeats_and_lost_machines",
      {.lost_responses = 0.005,
       .delayed_requests = 0.01,
       .max_request_delay = 20,
@@ -157,13 +159,14 @@
      }},
 };
 
-class ZoneCuts : public ::testing::TestWithParam<Scenario> {};
+class ZonePartitionScenario : public ::testing::TestWithParam<Scenario> {};
 
-TEST_P(ZoneCuts, KeepTheRulesAndFinish) {
+TEST_P(ZonePartitionScenario, KeepsInvariantsAndFinishes) {
   for (const std::uint64_t seed : {1, 2, 3, 4}) run_and_verify(GetParam(), seed);
 }
 
-INSTANTIATE_TEST_SUITE_P(Scenarios, ZoneCuts, ::testing::ValuesIn(kCuts),
+INSTANTIATE_TEST_SUITE_P(Scenarios, ZonePartitionScenario,
+                         ::testing::ValuesIn(kZonePartitionScenarios),
                          [](const auto& info) { return std::string(info.param.name); });
 
 }  // namespace
--- a/tests/user_api_test.cpp
+++ b/tests/user_api_test.cpp
@@ -1,4 +1,4 @@
-/// Users' requests to one controller, against a scripted key-value store.
+/// The users' API of one controller, with scripted replies of the key-value store.
 #include "coordination/api/user_api.hpp"
 
 #include <gtest/gtest.h>
@@ -35,10 +35,10 @@
                       {"mark", 5}});
 }
 
-const ScriptedAnswer kMissing = answer(404, {{"ledger", 9}});
-const ScriptedAnswer kCommitted = answer(200, {{"ledger", 9}});
-const ScriptedAnswer kConflict = answer(409, {{"failed", {"j/job-1"}}, {"ledger", 9}});
-const ScriptedAnswer kNoJobs = answer(200, {{"pairs", Json::array()}, {"ledger", 9}});
+const ScriptedAnswer kRecordMissing = answer(404, {{"ledger", 9}});
+const ScriptedAnswer kCommitSucceeded = answer(200, {{"ledger", 9}});
+const ScriptedAnswer kCommitConflict = answer(409, {{"failed", {"j/job-1"}}, {"ledger", 9}});
+const ScriptedAnswer kEmptyJobList = answer(200, {{"pairs", Json::array()}, {"ledger", 9}});
 
 class UserApiTest : public testing::ScriptedStoreTest {
  protected:
@@ -58,7 +58,7 @@
   std::vector<std::string> cancelled;
 };
 
-TEST_F(UserApiTest, RequestsThatNeedNoJob) {
+TEST_F(UserApiTest, RequestsThatNeedNoStoreAccess) {
   const struct {
     Request request;
     int status;
@@ -75,8 +75,8 @@
   EXPECT_EQ(request({"GET", "/healthz", ""}).status, 503);
 }
 
-TEST_F(UserApiTest, FinishedJobsAreReadOnce) {
-  net.script = {kNoJobs, finished_entry(false)};
+TEST_F(UserApiTest, FinishedJobsAreReadFromTheStoreOnce) {
+  net.script = {kEmptyJobList, finished_entry(false)};
   for (int i = 0; i < 3; ++i) {
     const Response response = request({"GET", "/v2/runs/job-1", ""});
     EXPECT_EQ(response.status, 200);
@@ -87,7 +87,7 @@
   EXPECT_EQ(net.sent.size(), 2u);
 }
 
-TEST_F(UserApiTest, CancellationFollowsTheRecord) {
+TEST_F(UserApiTest, CancellationDependsOnTheJobRecord) {
   const struct {
     const char* what;
     std::deque<ScriptedAnswer> script;
@@ -95,20 +95,20 @@
     const char* state;  // nullptr: no job in the response
     bool newly_cancelled;
   } cases[] = {
-      {"active", {job_entry(false, 7), kCommitted}, 200, "withdrawn", true},
-      {"changed meanwhile, to cancelled",
-       {job_entry(false, 7), kConflict, job_entry(true, 8)},
+      {"active", {job_entry(false, 7), kCommitSucceeded}, 200, "withdrawn", true},
+      {"concurrently cancelled",
+       {job_entry(false, 7), kCommitConflict, job_entry(true, 8)},
        200,
        "withdrawn",
        false},
-      {"changed meanwhile, to another revision",
-       {job_entry(false, 7), kConflict, job_entry(false, 8), kCommitted},
+      {"concurrently updated",
+       {job_entry(false, 7), kCommitConflict, job_entry(false, 8), kCommitSucceeded},
        200,
        "withdrawn",
        true},
-      {"unknown", {kMissing, kMissing}, 404, nullptr, false},
-      {"done meanwhile",
-       {job_entry(false, 7), kConflict, kMissing, finished_entry(false)},
+      {"unknown", {kRecordMissing, kRecordMissing}, 404, nullptr, false},
+      {"concurrently finished",
+       {job_entry(false, 7), kCommitConflict, kRecordMissing, finished_entry(false)},
        200,
        "done",
        false},
@@ -127,23 +127,23 @@
   }
 }
 
-TEST_F(UserApiTest, UsersAreAskedToRetryWhenTheStoreDoesNotAnswer) {
+TEST_F(UserApiTest, UsersAreToldToRetryWhenTheStoreDoesNotAnswer) {
   const Request requests[] = {{"GET", "/v2/runs/job-1", ""},
                               {"POST", "/v2/runs/job-1/cancel", ""},
                               {"POST", "/v2/runs", R"({"ref":"job-1"})"}};
-  for (const Request& request_of_user : requests) {
+  for (const Request& user_request : requests) {
     net.script = {testing::kLostAnswer};
-    const Response response = request(request_of_user);
-    EXPECT_EQ(response.status, 503) << request_of_user.target;
-    EXPECT_EQ(response.retry_after_s, 1) << request_of_user.target;
+    const Response response = request(user_request);
+    EXPECT_EQ(response.status, 503) << user_request.target;
+    EXPECT_EQ(response.retry_after_s, 1) << user_request.target;
   }
 }
 
-// A job that was accepted stays accepted, whatever a repeated submission says.
+// An accepted job stays accepted, whatever a repeated submission contains.
 TEST_F(UserApiTest, MalformedSubmissionOfAnAcceptedJobReportsItsState) {
   net.script = {job_entry(false, 7)};
   EXPECT_EQ(request({"POST", "/v2/runs", R"({"ref":"job-1"})"}).status, 200);
-  net.script = {kMissing, kMissing};
+  net.script = {kRecordMissing, kRecordMissing};
   EXPECT_EQ(request({"POST", "/v2/runs", R"({"ref":"job-1"})"}).status, 400);
 }
 
