--- a/src/coordination/membership/cancellation_notifier.cpp
+++ b/src/coordination/membership/cancellation_notifier.cpp
@@ -36,7 +36,7 @@
 }
 
 void CancellationNotifier::handle_reply(const PeerSettings& peer, transport::Outcome outcome) {
-  // Any reply confirms delivery, an error too: a peer that does not know the job has nothing to
+  // Any reply confirms delivery, even an error: a peer that does not know the job has nothing to
   // stop.
   const bool answered = outcome == transport::Outcome::answered;
   if (answered) outboxes_[peer.member].notices.pop_front();
