--- a/src/coordination/relay/relay.hpp
+++ b/src/coordination/relay/relay.hpp
@@ -96,8 +96,8 @@
   std::deque<QueuedHeartbeat> queue_;
   int batches_in_flight_ = 0;
   bool send_scheduled_ = false;
-  transport::CallbackScope
-      scope_;  // last member: callbacks are dropped before the rest is destroyed
+  // Last member, so that pending callbacks are dropped before the other members are destroyed.
+  transport::CallbackScope scope_;
 };
 
 }  // namespace larkroad::coordination
--- a/src/coordination/relay/store_relay_server.cpp
+++ b/src/coordination/relay/store_relay_server.cpp
@@ -34,8 +34,7 @@
 // The slot in the key of a batch; throws if the key does not belong to `member`.
 std::string slot_of(const std::string& key, const std::string& member) {
   const std::string prefix = storage::relay_request_key(member, "");
-  if (!key.starts_with(prefix))
-    throw protocol::Malformed("the key does not belong to member " + member);
+  if (!key.starts_with(prefix)) throw protocol::Malformed("the key is not one of " + member);
   return key.substr(prefix.size());
 }
 
