--- a/src/log.cpp
+++ b/src/log.cpp
@@ -12,7 +12,7 @@
   if (name == "error") return spdlog::level::err;
   if (name == "debug") return spdlog::level::debug;
   if (name.empty() || name == "info") return spdlog::level::info;
-  throw LogLevelError("LOG_LEVEL must be error, info or debug, not '" + name + "'");
+  throw LogLevelError("LOG_LEVEL must be error, info or debug; got '" + name + "'");
 }
 
 }  // namespace
--- a/src/log.hpp
+++ b/src/log.hpp
@@ -1,5 +1,5 @@
-/// Logging by spdlog to standard error. A line names one event in the field's terms, followed by
-/// its fields as `key=value`.
+/// Logging to standard error through spdlog. Every message has the form
+/// `event in words: key=value key=value`.
 #pragma once
 
 #include <spdlog/spdlog.h>
@@ -9,12 +9,13 @@
 
 namespace larkroad {
 
+/// Thrown for an unsupported log level name.
 struct LogLevelError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// Sets up the default logger; every line carries the member's name. `level_name` is `error`,
-/// `info` or `debug`; empty: `info`. Throws `LogLevelError` for any other.
+/// Installs the default logger, which adds the member name to every line. `level_name` is `error`,
+/// `info`, `debug`, or empty for `info`. Throws `LogLevelError` for any other value.
 void init_logging(const std::string& level_name, const std::string& member);
 
 }  // namespace larkroad
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,5 @@
-/// The `larkroad` program: `larkroad serve` runs one controller until the process is ended.
+/// Entry point of the `larkroad` program. `larkroad serve` runs one controller until the process is
+/// terminated.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <asio/io_context.hpp>
@@ -19,8 +20,9 @@
 
 using namespace larkroad;
 
-// How the limit of sockets in the settings is divided: users and workers, peers, outgoing calls.
-// The rest is left for listening sockets and for connections that are being closed.
+// Shares of the socket limit from the settings: connections from users and workers, connections
+// from peers, and outgoing connections. The remainder covers listening sockets and connections that
+// are being closed.
 constexpr double kClientSocketShare = 0.7;
 constexpr double kPeerSocketShare = 0.05;
 constexpr double kOutgoingSocketShare = 0.2;
@@ -41,7 +43,7 @@
   return value != nullptr ? value : "";
 }
 
-std::string limit_text(double limit) {
+std::string format_limit(double limit) {
   return limit < kNoLimit ? fmt::format("{}", limit) : "none";
 }
 
@@ -50,7 +52,7 @@
                settings.controller_count(), settings.zone);
   for (const auto& team : settings.teams) {
     spdlog::info("team configured: team={} cpus={} cpus_max={} gpus={} gpus_max={}", team.name,
-                 team.cpus, limit_text(team.cpus_max), team.gpus, limit_text(team.gpus_max));
+                 team.cpus, format_limit(team.cpus_max), team.gpus, format_limit(team.gpus_max));
   }
 }
 
@@ -60,8 +62,8 @@
     try {
       io.run();
     } catch (const std::exception& error) {
-      // A defect, but one event that goes wrong must not take the controller down.
-      spdlog::error("unhandled exception: error={}", error.what());
+      // This is a bug, but a single failing handler must not terminate the controller.
+      spdlog::error("unhandled exception in event loop: error={}", error.what());
     }
   }
 }
@@ -93,9 +95,9 @@
   app.require_subcommand(1);
   std::string settings_path;
   std::string operators_path;
-  CLI::App* serve_command = app.add_subcommand("serve", "Run as one of the controllers");
+  CLI::App* serve_command = app.add_subcommand("serve", "Run a controller");
   serve_command->add_option("--config", settings_path, "Settings file (TOML)")->required();
-  serve_command->add_option("--operators", operators_path, "The operators' own settings (TOML)");
+  serve_command->add_option("--operators", operators_path, "Operator settings file (TOML)");
   CLI11_PARSE(app, argc, argv);
 
   try {
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -21,15 +21,15 @@
 }
 
 void parse_members(const SettingsSection& root, Settings& settings) {
-  settings.member = root.text("member");
-  settings.zone = root.text("zone");
+  settings.member = root.string("member");
+  settings.zone = root.string("zone");
   settings.client_listen = root.address("client_listen");
   settings.peer_bind = root.address("peer_bind");
   std::set<std::string> members{settings.member};
-  for (const SettingsSection& section : root.sections_or_none("peers")) {
-    PeerSettings peer{section.text("member"), section.text("zone"), section.address("addr")};
+  for (const SettingsSection& section : root.sections_or_empty("peers")) {
+    PeerSettings peer{section.string("member"), section.string("zone"), section.address("addr")};
     if (!members.insert(peer.member).second) {
-      fail_field(section.path_of("member"), "is named twice: " + peer.member);
+      throw_field_error(section.path_of("member"), "is named twice: " + peer.member);
     }
     settings.peers.push_back(std::move(peer));
   }
@@ -42,20 +42,21 @@
 
 TeamSettings parse_team(const SettingsSection& section) {
   TeamSettings team;
-  team.name = section.text("name");
+  team.name = section.string("name");
   team.cpus = section.number_or("cpus", 0, 0);
   team.cpus_max = section.number_or("cpus_max", 0, team.cpus);
   team.gpus = section.number_or("gpus", 0, 0);
   team.gpus_max = section.number_or("gpus_max", 0, team.gpus);
   if (team.cpus_max < team.cpus) {
-    fail_field(section.path_of("cpus_max"), "must not be less than cpus");
+    throw_field_error(section.path_of("cpus_max"), "must not be less than cpus");
   }
   if (team.gpus_max < team.gpus) {
-    fail_field(section.path_of("gpus_max"), "must not be less than gpus");
+    throw_field_error(section.path_of("gpus_max"), "must not be less than gpus");
   }
-  // 0 means none: a team without a quota has neither a guarantee nor a limit. Taken for a limit of
-  // nothing, all that such a team submitted was refused. A team with a limit on one resource only
-  // may use none of the other, which is the reading that can break no limit.
+  // 0 means that no limit is set: a team without a quota has neither a guarantee nor a limit. When
+  // 0 was treated as a limit of zero, all submissions from such teams were rejected. A team with a
+  // limit on only one resource may use none of the other, as this interpretation cannot violate any
+  // limit.
   if (team.cpus_max == 0 && team.gpus_max == 0) {
     team.cpus_max = kNoLimit;
     team.gpus_max = kNoLimit;
@@ -67,7 +68,7 @@
   for (const SettingsSection& section : cluster.sections("teams")) {
     TeamSettings team = parse_team(section);
     if (settings.team(team.name) != nullptr) {
-      fail_field(section.path_of("name"), "is named twice: " + team.name);
+      throw_field_error(section.path_of("name"), "is named twice: " + team.name);
     }
     settings.teams.push_back(std::move(team));
   }
@@ -75,8 +76,8 @@
 
 Objective parse_objective(const SettingsSection& section) {
   Objective objective;
-  objective.kind = section.text("kind");
-  objective.job_class = section.text_or("class", "");
+  objective.kind = section.string("kind");
+  objective.job_class = section.string_or("class", "");
   objective.within_s = section.number_or("within_s", 0, 0);
   objective.after_s = section.number_or("after_s", 0, 0);
   objective.share = section.number_or("share", 0, 0);
@@ -85,45 +86,47 @@
 }
 
 void parse_workers(const SettingsSection& workers, Settings& settings) {
-  settings.heartbeat_interval_s = workers.positive("report_s");
-  settings.lease_s = workers.positive("lease_s");
-  settings.gang_wait_s = workers.positive("gang_wait_s");
-  settings.gang_peer_s = workers.positive("gang_peer_s");
-  settings.cancellation_limit_s = workers.positive("cancel_s");
+  settings.heartbeat_interval_s = workers.positive_number("report_s");
+  settings.lease_s = workers.positive_number("lease_s");
+  settings.gang_wait_s = workers.positive_number("gang_wait_s");
+  settings.gang_peer_s = workers.positive_number("gang_peer_s");
+  settings.cancellation_limit_s = workers.positive_number("cancel_s");
   if (settings.lease_s <= settings.heartbeat_interval_s) {
-    fail_field(workers.path_of("lease_s"), "must be greater than " + workers.path_of("report_s"));
+    throw_field_error(workers.path_of("lease_s"),
+                      "must be greater than " + workers.path_of("report_s"));
   }
   if (settings.cancellation_limit_s <= settings.lease_s) {
-    fail_field(workers.path_of("cancel_s"), "must be greater than " + workers.path_of("lease_s"));
+    throw_field_error(workers.path_of("cancel_s"),
+                      "must be greater than " + workers.path_of("lease_s"));
   }
 }
 
 StoreLimits parse_store_limits(const SettingsSection& state) {
   StoreLimits limits;
-  limits.rps = state.positive("rps");
-  limits.write_rps = state.positive("write_rps");
-  limits.value_kb = state.positive("value_kb");
-  limits.max_transaction_changes = state.count("txn_ops");
+  limits.rps = state.positive_number("rps");
+  limits.write_rps = state.positive_number("write_rps");
+  limits.value_kb = state.positive_number("value_kb");
+  limits.max_transaction_changes = state.positive_integer("txn_ops");
   return limits;
 }
 
-// A limit that is not named stays as it is at present.
-StoreLimits parse_next_store_limits(const SettingsSection& state, const StoreLimits& present) {
-  if (!state.contains("next")) return present;
+// A limit that is not given keeps its current value.
+StoreLimits parse_next_store_limits(const SettingsSection& state, const StoreLimits& current) {
+  if (!state.contains("next")) return current;
   const SettingsSection next = state.section("next");
-  StoreLimits limits = present;
-  if (next.contains("rps")) limits.rps = next.positive("rps");
-  if (next.contains("write_rps")) limits.write_rps = next.positive("write_rps");
-  if (next.contains("value_kb")) limits.value_kb = next.positive("value_kb");
-  if (next.contains("txn_ops")) limits.max_transaction_changes = next.count("txn_ops");
+  StoreLimits limits = current;
+  if (next.contains("rps")) limits.rps = next.positive_number("rps");
+  if (next.contains("write_rps")) limits.write_rps = next.positive_number("write_rps");
+  if (next.contains("value_kb")) limits.value_kb = next.positive_number("value_kb");
+  if (next.contains("txn_ops")) limits.max_transaction_changes = next.positive_integer("txn_ops");
   return limits;
 }
 
 void parse_cluster(const SettingsSection& cluster, Settings& settings) {
-  settings.zones = cluster.texts("zones");
+  settings.zones = cluster.strings("zones");
   settings.clock_error_s = cluster.number_or("clock_error_ms", 0, 0) / kMillisecondsPerSecond;
   parse_teams(cluster, settings);
-  for (const SettingsSection& section : cluster.sections_or_none("objectives")) {
+  for (const SettingsSection& section : cluster.sections_or_empty("objectives")) {
     settings.objectives.push_back(parse_objective(section));
   }
   parse_workers(cluster.section("workers"), settings);
@@ -131,12 +134,12 @@
   settings.store_limits = parse_store_limits(state);
   settings.next_store_limits = parse_next_store_limits(state, settings.store_limits);
   const SettingsSection cloud = cluster.section("cloud");
-  settings.cloud_rps = cloud.positive("rps");
+  settings.cloud_rps = cloud.positive_number("rps");
   settings.list_lag_s = cloud.number("list_lag_s", 0);
   const SettingsSection resources = cluster.section("resources");
-  settings.cpu_share = resources.positive("cpu");
-  settings.memory_mb = resources.positive("ram_mb");
-  settings.sockets = resources.count("sockets");
+  settings.cpu_share = resources.positive_number("cpu");
+  settings.memory_mb = resources.positive_number("ram_mb");
+  settings.sockets = resources.positive_integer("sockets");
 }
 
 }  // namespace
@@ -166,20 +169,20 @@
 
 Settings load_settings(const std::string& path) { return parse_settings(read_file(path)); }
 
-// Operators write this file by hand: a field that nothing reads is a mistake.
+// Operators edit this file by hand, so an unknown field is most likely a mistake.
 OperatorSettings parse_operators(const std::string& toml_text) {
   const toml::table table = parse_toml(toml_text);
   const SettingsSection root(table, "");
-  root.refuse_unknown({"gangs", "starts"});
+  root.reject_unknown_fields({"gangs", "starts"});
   OperatorSettings settings;
   if (root.contains("gangs")) {
     const SettingsSection gangs = root.section("gangs");
-    gangs.refuse_unknown({"hold_s"});
-    if (gangs.contains("hold_s")) settings.reservation_limit_s = gangs.positive("hold_s");
+    gangs.reject_unknown_fields({"hold_s"});
+    if (gangs.contains("hold_s")) settings.reservation_limit_s = gangs.positive_number("hold_s");
   }
   if (root.contains("starts")) {
     const SettingsSection starts = root.section("starts");
-    starts.refuse_unknown({"bound_s"});
+    starts.reject_unknown_fields({"bound_s"});
     settings.start_bound_s = starts.number_or("bound_s", 0, settings.start_bound_s);
   }
   return settings;
--- a/src/settings_section.hpp
+++ b/src/settings_section.hpp
@@ -1,4 +1,4 @@
-/// Checked reading of a TOML file, for settings.cpp.
+/// Validated access to the tables of a TOML file, used by settings.cpp.
 #pragma once
 
 #define TOML_HEADER_ONLY 1
@@ -12,56 +12,56 @@
 
 namespace larkroad {
 
-/// A table of a settings file, with the path that led to it.
+/// A table of a settings file, together with its path.
 ///
-/// Every error is a SettingsError that names the whole path of the field at fault. Refers to the
-/// table, which must outlive it.
+/// All errors are reported as SettingsError with the full path of the invalid field. Holds a
+/// reference to the table, which must outlive it.
 class SettingsSection {
  public:
   SettingsSection(const toml::table& table, std::string path)
       : table_(table), path_(std::move(path)) {}
 
-  /// The whole path of a field.
+  /// Returns the full path of a field.
   std::string path_of(const std::string& key) const {
     return path_.empty() ? key : path_ + "." + key;
   }
 
   bool contains(const char* key) const { return table_.contains(key); }
 
-  /// A string that is not empty.
-  std::string text(const char* key) const;
-  std::string text_or(const char* key, const std::string& default_value) const;
-  std::vector<std::string> texts(const char* key) const;
+  /// A non-empty string.
+  std::string string(const char* key) const;
+  std::string string_or(const char* key, const std::string& default_value) const;
+  std::vector<std::string> strings(const char* key) const;
 
-  /// A finite number of at least `least`.
-  double number(const char* key, double least) const;
-  double number_or(const char* key, double least, double default_value) const;
-  double positive(const char* key) const;
-  /// A whole number of at least 1.
-  int count(const char* key) const;
+  /// A finite number of at least `minimum`.
+  double number(const char* key, double minimum) const;
+  double number_or(const char* key, double minimum, double default_value) const;
+  double positive_number(const char* key) const;
+  /// An integer of at least 1.
+  int positive_integer(const char* key) const;
 
-  /// HOST:PORT.
+  /// An address of the form HOST:PORT.
   Address address(const char* key) const;
 
   SettingsSection section(const char* key) const;
   std::vector<SettingsSection> sections(const char* key) const;
-  /// The same; none when the field is absent.
-  std::vector<SettingsSection> sections_or_none(const char* key) const;
+  /// Like `sections`, but returns an empty list if the field is absent.
+  std::vector<SettingsSection> sections_or_empty(const char* key) const;
 
-  /// Throws unless all fields of this table are among `known`.
-  void refuse_unknown(const std::set<std::string>& known) const;
+  /// Throws if this table has a field that is not in `known`.
+  void reject_unknown_fields(const std::set<std::string>& known) const;
 
  private:
-  const toml::node& need(const char* key) const;
+  const toml::node& require(const char* key) const;
 
   const toml::table& table_;
   std::string path_;
 };
 
-/// Throws a SettingsError about one field.
-[[noreturn]] void fail_field(const std::string& path, const std::string& problem);
+/// Throws SettingsError for one field.
+[[noreturn]] void throw_field_error(const std::string& path, const std::string& problem);
 
-/// Throws SettingsError with the line at fault.
+/// Throws SettingsError with the line number of a syntax error.
 toml::table parse_toml(const std::string& text);
 
 }  // namespace larkroad
