--- a/src/protocol/cloud_messages.cpp
+++ b/src/protocol/cloud_messages.cpp
@@ -38,7 +38,7 @@
   machine.type = text(item, wire::kMachineType);
   machine.zone = text(item, wire::kZone);
   machine.spot = boolean(item, wire::kSpot);
-  machine.state = named_value(kListedStates, item, wire::kState);
+  machine.state = enum_field(kListedStates, item, wire::kState);
   machine.age_s = amount(item, wire::kAge);
   return machine;
 }
--- a/src/protocol/job_messages.cpp
+++ b/src/protocol/job_messages.cpp
@@ -32,8 +32,8 @@
 
 constexpr std::string_view kJobIdPrefix = "job-";
 constexpr size_t kMaxJobIdLength = 64;
-// Longer names are nobody's; the limit keeps a record within the smallest value that the key-value
-// store may allow.
+// No name in use is longer than this. The limit keeps a record within the smallest value size limit
+// that the key-value store may impose.
 constexpr size_t kMaxNameLength = 200;
 
 std::string parse_name(const Json& object, const char* key) {
@@ -44,10 +44,10 @@
   return name;
 }
 
-// Unlike `named_value` this does not repeat to users what they have sent.
+// Unlike `enum_field`, does not echo the received value, as the error text is returned to users.
 template <typename Table>
-auto parse_named(const Table& table, const Json& body, const char* key) {
-  const auto value = find_named(table, text(body, key));
+auto parse_enum(const Table& table, const Json& body, const char* key) {
+  const auto value = value_for_name(table, text(body, key));
   if (!value) throw Malformed(key, "is unknown");
   return *value;
 }
@@ -64,7 +64,7 @@
   return static_cast<std::uint32_t>(tasks);
 }
 
-// What each task takes of its machine.
+// Parses the resources that each task requires.
 void parse_resources(const Json& body, JobSpec& spec) {
   spec.cpus = amount(body, wire::kCpus);
   if (spec.cpus <= 0) throw Malformed(wire::kCpus, "is out of range");
@@ -72,7 +72,7 @@
   spec.memory_gb = amount(body, wire::kMemoryGb);
 }
 
-// On which machines and in which zones the tasks may run.
+// Parses the constraints on machine types and zones.
 void parse_placement_constraints(const Json& body, JobSpec& spec) {
   if (find(body, wire::kMachineTypes) != nullptr) {
     spec.types = array_of_strings(body, wire::kMachineTypes);
@@ -87,7 +87,7 @@
   spec.spot = boolean(body, wire::kSpot);
 }
 
-// The image, and the owner's figures for run time, checkpoints and the deadline.
+// Parses the image and the user's values for run time, checkpoints and the deadline.
 void parse_image_and_times(const Json& body, JobSpec& spec) {
   spec.image = parse_name(body, wire::kImage);
   spec.image_gb = amount(body, wire::kImageGb);
@@ -95,7 +95,7 @@
   spec.checkpoint_s = amount(body, wire::kCheckpointInterval);
   spec.save_s = amount(body, wire::kSaveTime);
   if (find(body, wire::kDeadline) != nullptr) spec.deadline_s = amount(body, wire::kDeadline);
-  // A service never ends by itself, so there is nothing that could be late.
+  // A service runs until it is cancelled, so a deadline has no meaning for it.
   if (spec.is_service()) spec.deadline_s.reset();
 }
 
@@ -120,14 +120,14 @@
                      [](char c) { return c >= '0' && c <= '9'; });
 }
 
-// The order of the checks decides which of several faults the user is told.
+// The order of the checks determines which of several errors is reported to the user.
 JobSpec parse_submission(const Json& body) {
   JobSpec spec;
   spec.id = parse_job_id(body);
   spec.job_class = parse_name(body, wire::kJobClass);
   spec.team = parse_name(body, wire::kTeam);
-  spec.shape = parse_named(kShapes, body, wire::kShape);
-  spec.priority = parse_named(kPriorities, body, wire::kPriority);
+  spec.shape = parse_enum(kShapes, body, wire::kShape);
+  spec.priority = parse_enum(kPriorities, body, wire::kPriority);
   spec.tasks = parse_task_count(body);
   parse_resources(body, spec);
   parse_placement_constraints(body, spec);
@@ -136,13 +136,13 @@
 }
 
 std::string encode_job_state(const std::string& id, JobState state) {
-  return Json{{wire::kId, id}, {wire::kState, find_name(kJobStates, state)}}.dump();
+  return Json{{wire::kId, id}, {wire::kState, name_for_value(kJobStates, state)}}.dump();
 }
 
 std::string encode_job_status(const std::string& id, JobState state, std::uint32_t done,
                               std::uint32_t running) {
   return Json{{wire::kId, id},
-              {wire::kState, find_name(kJobStates, state)},
+              {wire::kState, name_for_value(kJobStates, state)},
               {wire::kTasksDone, done},
               {wire::kTasksRunning, running}}
       .dump();
--- a/src/protocol/job_spec_record.cpp
+++ b/src/protocol/job_spec_record.cpp
@@ -6,7 +6,7 @@
 namespace larkroad::protocol {
 namespace {
 
-// Field names of stored records. Every version in production reads them, so they stay as they are.
+// Field names in stored records. Every version in production reads them, so they must not change.
 constexpr const char* kJobClass = "class";
 constexpr const char* kTeam = "team";
 constexpr const char* kGang = "gang";
@@ -41,8 +41,7 @@
            {kSpot, spec.spot},          {kImage, spec.image},
            {kImageGb, spec.image_gb},   {kEstimate, spec.estimate_s},
            {kSaveTime, spec.save_s},    {kCheckpointInterval, spec.checkpoint_s}};
-  // Version 1 does not know this field and takes the job for an array; see docs/DESIGN.md,
-  // Upgrades.
+  // Version 1 ignores this field and treats the job as an array; see "Upgrades" in docs/DESIGN.md.
   if (spec.is_service()) out[kService] = true;
   if (spec.types) out[kMachineTypes] = *spec.types;
   if (spec.zone) out[kZone] = *spec.zone;
--- a/src/protocol/json.cpp
+++ b/src/protocol/json.cpp
@@ -8,14 +8,14 @@
 Json parse_object(const std::string& text) {
   std::set<std::string> keys;
   bool duplicate = false;
-  const auto note_key = [&](int depth, Json::parse_event_t event, Json& parsed) {
+  const auto record_key = [&](int depth, Json::parse_event_t event, Json& parsed) {
     if (event == Json::parse_event_t::key && depth == 1) {
       const bool is_new = keys.insert(parsed.get<std::string>()).second;
       duplicate = duplicate || !is_new;
     }
     return true;
   };
-  Json out = Json::parse(text, note_key, /*allow_exceptions=*/false);
+  Json out = Json::parse(text, record_key, /*allow_exceptions=*/false);
   if (out.is_discarded()) throw Malformed("not JSON");
   if (!out.is_object()) throw Malformed("not an object");
   if (duplicate) throw Malformed("a field is given twice");
@@ -51,16 +51,16 @@
   return value.get<bool>();
 }
 
-double amount(const Json& object, const char* key, double least) {
+double amount(const Json& object, const char* key, double minimum) {
   const Json& value = need(object, key);
   if (!value.is_number()) throw Malformed(key, "must be a number");
   const double out = value.get<double>();
-  if (!std::isfinite(out) || out < least) throw Malformed(key, "is out of range");
+  if (!std::isfinite(out) || out < minimum) throw Malformed(key, "is out of range");
   return out;
 }
 
-double amount_or(const Json& object, const char* key, double missing) {
-  return find(object, key) != nullptr ? amount(object, key) : missing;
+double amount_or(const Json& object, const char* key, double default_value) {
+  return find(object, key) != nullptr ? amount(object, key) : default_value;
 }
 
 const Json& array(const Json& object, const char* key) {
--- a/src/protocol/json.hpp
+++ b/src/protocol/json.hpp
@@ -1,7 +1,7 @@
-/// Checked reading of JSON: every codec of this layer goes through these functions.
+/// JSON parsing with validation, used by all codecs of this layer.
 ///
-/// A field that may be null may equally be omitted, and fields that nobody asks for are ignored.
-/// Whatever is missing, of another kind or out of range throws Malformed, which names the field.
+/// Null and omitted fields are treated alike, and unknown fields are ignored. A field that is
+/// missing, of the wrong type or out of range causes a Malformed exception that names it.
 #pragma once
 
 #include <cstdint>
@@ -16,48 +16,48 @@
 
 using Json = nlohmann::json;
 
-/// A message or record that cannot be read. What it says goes back to whoever sent it, in the body
-/// of a 400.
+/// Thrown for a message or record that cannot be parsed. For a message, the text is returned to the
+/// sender in the body of a 400 response.
 class Malformed : public std::runtime_error {
  public:
-  /// The message as a whole, or its sender.
+  /// A problem with the whole message or with its sender.
   explicit Malformed(const std::string& problem) : std::runtime_error(problem) {}
-  /// One field of it, by its name on the wire.
+  /// A problem with one field, identified by its wire name.
   Malformed(std::string field, const std::string& problem)
       : std::runtime_error(field + " " + problem), field_(std::move(field)) {}
 
-  /// The field at fault; none: the message as a whole.
+  /// The invalid field, or none if the problem concerns the whole message.
   const std::optional<std::string>& field() const { return field_; }
 
  private:
   std::optional<std::string> field_;
 };
 
-/// Parses an object; throws Malformed for anything else, and for a field given twice.
+/// Parses a JSON object. Throws Malformed for any other input and for duplicate top-level fields.
 Json parse_object(const std::string& text);
 
-/// The field's value; nullptr: it is null or omitted.
+/// Returns the field's value, or nullptr if it is null or omitted.
 const Json* find(const Json& object, const char* key);
-/// The same of a field that must be there.
+/// Returns the value of a required field.
 const Json& need(const Json& object, const char* key);
 
 std::string text(const Json& object, const char* key);
 /// An integer from 0 to 2^64 - 1.
 std::uint64_t integer(const Json& object, const char* key);
 bool boolean(const Json& object, const char* key);
-/// A finite decimal number of at least `least`.
-double amount(const Json& object, const char* key, double least = 0);
-/// The same; `missing` where the field is null or omitted.
-double amount_or(const Json& object, const char* key, double missing);
+/// A finite number of at least `minimum`.
+double amount(const Json& object, const char* key, double minimum = 0);
+/// Like `amount`, but returns `default_value` if the field is null or omitted.
+double amount_or(const Json& object, const char* key, double default_value);
 const Json& array(const Json& object, const char* key);
-/// Throws unless `item`, of the list `key`, is an object.
+/// Throws Malformed unless `item`, an element of the array field `key`, is an object.
 void require_object(const Json& item, const char* key);
-/// A list of which each item is a string.
+/// An array of strings.
 std::vector<std::string> array_of_strings(const Json& object, const char* key);
 
-/// The value that a table of wire names and values has for `name`; none: it is not in the table.
+/// Looks up `name` in a table of (wire name, value) pairs. Returns none if it is not in the table.
 template <typename Table>
-auto find_named(const Table& table, const std::string& name) {
+auto value_for_name(const Table& table, const std::string& name) {
   using Value = decltype(table.front().second);
   for (const auto& [known, value] : table) {
     if (name == known) return std::optional<Value>(value);
@@ -65,25 +65,26 @@
   return std::optional<Value>();
 }
 
-/// The value that a table has for the text of a field; throws Malformed if it is not in the table.
+/// Looks up the string in a field in a table of (wire name, value) pairs. Throws Malformed if it is
+/// not in the table.
 template <typename Table>
-auto named_value(const Table& table, const Json& object, const char* key) {
+auto enum_field(const Table& table, const Json& object, const char* key) {
   const std::string name = text(object, key);
-  const auto value = find_named(table, name);
+  const auto value = value_for_name(table, name);
   if (!value) throw Malformed(key, "is unknown: " + name);
   return *value;
 }
 
-/// The wire name that a table has for `value`; nullptr: it has none.
+/// Returns the wire name of `value`, or nullptr if it is not in the table.
 template <typename Table, typename Value>
-const char* find_name(const Table& table, const Value& value) {
+const char* name_for_value(const Table& table, const Value& value) {
   for (const auto& [name, known] : table) {
     if (known == value) return name;
   }
   return nullptr;
 }
 
-// What these return points into the object, so it must not be a temporary.
+// The results point into the object, so temporaries are rejected at compile time.
 const Json* find(Json&&, const char*) = delete;
 const Json& need(Json&&, const char*) = delete;
 const Json& array(Json&&, const char*) = delete;
--- a/src/protocol/peer_messages.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -1,5 +1,6 @@
-/// Messages that controllers exchange about themselves and about users' requests. The wire's field
-/// names appear in the codec alone. Batches of relayed heartbeats are in `relay_messages.hpp`.
+/// Messages between controllers: status reports, forwarded user requests and cancellation notices.
+/// Wire field names appear only in the codec. Batches of relayed heartbeats are in
+/// `relay_messages.hpp`.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +14,7 @@
 inline constexpr const char* kForwardedRequestPath = "/user";
 inline constexpr const char* kCancellationPath = "/cancelled";
 
-/// Progress of one job, for display to users only.
+/// Progress of one job, used only for display to users.
 struct JobProgress {
   std::string job;
   std::uint32_t done = 0;
@@ -21,35 +22,35 @@
   bool operator==(const JobProgress&) const = default;
 };
 
-/// What a controller periodically reports of itself to its peers.
+/// The status that a controller periodically sends to its peers.
 ///
-/// A message names a fact by a field that it leaves out otherwise, so controllers of an earlier
-/// version are understood: they never send `version`.
+/// Optional fields are omitted when they do not apply. Messages from controllers of an earlier
+/// version, which never send `version`, can therefore still be parsed.
 struct PeerStatus {
   std::string member;
-  /// Whether the key-value store answers this controller at present.
+  /// Whether the key-value store currently responds to the sender.
   bool store_available = false;
-  /// The fencing token of the sender's own leadership; 0 when it is not the leader.
+  /// The fencing token of the sender's leadership term, or 0 if it is not the leader.
   std::uint64_t fencing_token = 0;
-  /// The version of records and messages that the sender understands.
+  /// The record and message format version that the sender supports.
   std::optional<std::uint64_t> version;
-  /// Whether workers have sent heartbeats straight to this controller lately.
+  /// Whether workers have recently sent heartbeats directly to the sender.
   bool receives_heartbeats = false;
-  /// The leader that the sender can reach and relays heartbeats to.
+  /// The leader that the sender can reach and to which it relays heartbeats.
   std::optional<std::string> relays_to;
-  /// Sent by a leader alone: whether workers are distributed over all controllers, which relay
-  /// their heartbeats.
+  /// Sent only by a leader: whether workers are distributed over all controllers, which relay their
+  /// heartbeats to the leader.
   std::optional<bool> distributes_workers;
-  /// Sent by a leader alone.
+  /// Progress of jobs. Sent only by a leader.
   std::optional<std::vector<JobProgress>> jobs;
   bool operator==(const PeerStatus&) const = default;
 };
 
 std::string encode_peer_status(const PeerStatus& status);
-/// Throws `Malformed` when a field is missing or of the wrong type.
+/// Throws Malformed if a field is missing or of the wrong type.
 PeerStatus parse_peer_status(const std::string& body);
 
-/// A user's request that its first receiver could not serve and hands to a peer.
+/// A user request that the receiving controller could not serve and forwards to a peer.
 struct ForwardedRequest {
   std::string method;
   std::string target;
@@ -58,20 +59,20 @@
 };
 
 std::string encode_forwarded_request(const ForwardedRequest& request);
-/// Throws `Malformed` when a field is missing or of the wrong type.
+/// Throws Malformed if a field is missing or of the wrong type.
 ForwardedRequest parse_forwarded_request(const std::string& body);
 
-/// The peer's response to a forwarded request, to be passed on to the user as it is.
+/// A peer's response to a forwarded request, returned to the user unchanged.
 struct ForwardedResponse {
   int status = 0;
   std::string body;
-  /// The value of `Retry-After` in seconds; 0: the header is not sent.
+  /// The value of the `Retry-After` header; 0 means that the header is not sent.
   int retry_after_s = 0;
   bool operator==(const ForwardedResponse&) const = default;
 };
 
 std::string encode_forwarded_response(const ForwardedResponse& response);
-/// Throws `Malformed` when a field is missing or of the wrong type.
+/// Throws Malformed if a field is missing or of the wrong type.
 ForwardedResponse parse_forwarded_response(const std::string& body);
 
 /// Tells a peer that a cancellation is durable.
@@ -83,7 +84,7 @@
 };
 
 std::string encode_cancellation_notice(const CancellationNotice& notice);
-/// Throws `Malformed` when a field is missing or of the wrong type.
+/// Throws Malformed if a field is missing or of the wrong type.
 CancellationNotice parse_cancellation_notice(const std::string& body);
 
 }  // namespace larkroad::protocol
--- a/src/protocol/relay_messages.cpp
+++ b/src/protocol/relay_messages.cpp
@@ -5,8 +5,8 @@
 namespace larkroad::protocol {
 namespace {
 
-// Names on the wire between controllers, and in the records of the route by way of the store. The
-// versions in production read them, so they stay as they are.
+// Field names in messages between controllers, and in the records used to relay through the
+// key-value store. Every version in production reads them, so they must not change.
 constexpr const char* kMember = "member";
 constexpr const char* kFencingToken = "token";
 constexpr const char* kHeartbeats = "reports";
@@ -20,22 +20,29 @@
 constexpr const char* kStatus = "status";
 constexpr const char* kBody = "body";
 
-// Positions in the compact form of a heartbeat.
+// Array indices in the compact form of a heartbeat.
 enum HeartbeatPosition : size_t {
-  machine_at,
-  address_at,
-  type_at,
-  zone_at,
-  spot_at,
-  incarnation_at,
-  sequence_at,
-  fencing_token_at,
-  reclaim_notice_at,
-  tasks_at,
+  machine_position,
+  address_position,
+  type_position,
+  zone_position,
+  spot_position,
+  incarnation_position,
+  sequence_position,
+  fencing_token_position,
+  reclaim_notice_position,
+  tasks_position,
 };
 
-// Positions in the compact form of a task.
-enum TaskPosition : size_t { job_at, task_at, attempt_at, state_at, cause_at, saved_at };
+// Array indices in the compact form of a task.
+enum TaskPosition : size_t {
+  job_position,
+  task_position,
+  attempt_position,
+  state_position,
+  cause_position,
+  saved_position
+};
 
 Json encode_compact(const TaskStatus& task) {
   return Json::array({task.id.job, task.id.task, task.attempt, static_cast<int>(task.state),
@@ -52,34 +59,35 @@
        std::move(tasks)});
 }
 
-// Both throw Json::exception where a position is missing or of another kind.
+// Both functions throw Json::exception if an element is missing or of the wrong type.
 TaskStatus parse_compact_task(const Json& item) {
-  const auto state = item.at(state_at).get<unsigned>();
-  const auto cause = item.at(cause_at).get<unsigned>();
+  const auto state = item.at(state_position).get<unsigned>();
+  const auto cause = item.at(cause_position).get<unsigned>();
   if (state > static_cast<unsigned>(TaskState::exited) ||
       cause > static_cast<unsigned>(ExitCause::unknown)) {
     throw Malformed(kCompact, "has a task of an unknown state or cause");
   }
-  return {{item.at(job_at).get<std::string>(), item.at(task_at).get<std::uint32_t>()},
-          item.at(attempt_at).get<std::uint64_t>(),
+  return {{item.at(job_position).get<std::string>(), item.at(task_position).get<std::uint32_t>()},
+          item.at(attempt_position).get<std::uint64_t>(),
           static_cast<TaskState>(state),
           static_cast<ExitCause>(cause),
-          item.at(saved_at).get<int>() != 0};
+          item.at(saved_position).get<int>() != 0};
 }
 
 Heartbeat parse_compact_heartbeat(const Json& item) {
   Heartbeat heartbeat;
-  heartbeat.machine = item.at(machine_at).get<std::string>();
-  heartbeat.address = item.at(address_at).get<std::string>();
-  heartbeat.type = item.at(type_at).get<std::string>();
-  heartbeat.zone = item.at(zone_at).get<std::string>();
-  heartbeat.spot = item.at(spot_at).get<bool>();
-  heartbeat.incarnation = item.at(incarnation_at).get<std::uint64_t>();
-  heartbeat.sequence = item.at(sequence_at).get<std::uint64_t>();
-  heartbeat.fencing_token = item.at(fencing_token_at).get<std::uint64_t>();
-  const Json& reclaim_notice = item.at(reclaim_notice_at);
+  heartbeat.machine = item.at(machine_position).get<std::string>();
+  heartbeat.address = item.at(address_position).get<std::string>();
+  heartbeat.type = item.at(type_position).get<std::string>();
+  heartbeat.zone = item.at(zone_position).get<std::string>();
+  heartbeat.spot = item.at(spot_position).get<bool>();
+  heartbeat.incarnation = item.at(incarnation_position).get<std::uint64_t>();
+  heartbeat.sequence = item.at(sequence_position).get<std::uint64_t>();
+  heartbeat.fencing_token = item.at(fencing_token_position).get<std::uint64_t>();
+  const Json& reclaim_notice = item.at(reclaim_notice_position);
   if (!reclaim_notice.is_null()) heartbeat.reclaim_notice_s = reclaim_notice.get<double>();
-  for (const Json& task : item.at(tasks_at)) heartbeat.tasks.push_back(parse_compact_task(task));
+  for (const Json& task : item.at(tasks_position))
+    heartbeat.tasks.push_back(parse_compact_task(task));
   return heartbeat;
 }
 
--- a/src/protocol/user_routes.cpp
+++ b/src/protocol/user_routes.cpp
@@ -9,7 +9,7 @@
 constexpr std::string_view kJobsPath = "/v2/runs";
 constexpr std::string_view kCancelSuffix = "/cancel";
 
-// The call that a path below that of the jobs makes, with the job's id.
+// Routes a path below `kJobsPath`, which contains a job id.
 UserTarget route_job_path(const std::string& path) {
   UserTarget target;
   std::string id = path.substr(kJobsPath.size() + 1);
@@ -30,7 +30,7 @@
   return {};
 }
 
-const char* method_of(UserCall call) {
+const char* allowed_method(UserCall call) {
   return call == UserCall::submit || call == UserCall::cancel ? "POST" : "GET";
 }
 
@@ -38,7 +38,7 @@
 
 UserTarget route_user_call(const std::string& method, const std::string& target) {
   UserTarget route = route_path(target.substr(0, target.find('?')));
-  if (route.call != UserCall::none) route.wrong_method = method != method_of(route.call);
+  if (route.call != UserCall::none) route.wrong_method = method != allowed_method(route.call);
   return route;
 }
 
--- a/src/protocol/wire_names.hpp
+++ b/src/protocol/wire_names.hpp
@@ -1,26 +1,26 @@
-/// The names that the protocol's messages have on the wire, each with its term in the code.
+/// Field names of the protocol's messages.
 ///
-/// The wire's names are fixed and partly its own; this is the one place where they are mapped. A
-/// name that several messages share stands once, in the first group.
+/// Wire names are fixed and partly differ from the terms used in the code. They are mapped only
+/// here. A name shared by several messages is listed once, in the first group.
 #pragma once
 
 namespace larkroad::protocol::wire {
 
-// Shared by messages of users, workers and the cloud.
+// Shared by user, worker and cloud messages.
 inline constexpr const char* kZone = "yard";
 inline constexpr const char* kSpot = "loaners";
 inline constexpr const char* kState = "stage";
-inline constexpr const char* kTasks = "legs";  // a number in submissions, a list in heartbeats
+inline constexpr const char* kTasks = "legs";  // an integer in submissions, an array in heartbeats
 inline constexpr const char* kMachineType = "breed";
 inline constexpr const char* kMachineTypes = "breeds";
 inline constexpr const char* kCpus = "cores";
 inline constexpr const char* kGpus = "accelerators";
 inline constexpr const char* kMemoryGb = "memGb";
-inline constexpr const char* kId = "ref";  // of a job, or of a machine that the cloud lists
+inline constexpr const char* kId = "ref";  // of a job, or of a machine in the cloud's list
 inline constexpr const char* kAddress = "address";
 inline constexpr const char* kError = "error";
 
-// Submissions and answers to users.
+// Job submissions and responses to users.
 inline constexpr const char* kJobClass = "lane";
 inline constexpr const char* kTeam = "crew";
 inline constexpr const char* kShape = "shape";
@@ -36,7 +36,7 @@
 inline constexpr const char* kTasksDone = "done";
 inline constexpr const char* kTasksRunning = "running";
 
-// Heartbeats of workers, the answers to them, and commands.
+// Worker heartbeats, responses to them, and commands.
 inline constexpr const char* kMachine = "perch";
 inline constexpr const char* kIncarnation = "flight";
 inline constexpr const char* kSequence = "tick";
--- a/src/protocol/worker_messages.cpp
+++ b/src/protocol/worker_messages.cpp
@@ -35,32 +35,32 @@
     {"forget", CommandType::forget},
 }};
 
-// So that the number fits 32 bits; task numbers have far fewer digits.
-constexpr size_t kMaxTaskNumberDigits = 9;
+// Ensures that the index fits 32 bits; actual task indices have far fewer digits.
+constexpr size_t kMaxTaskIndexDigits = 9;
 
-// A notice that has run out is negative.
-constexpr double kLeastReclaimNotice = -1e9;
+// The notice is negative once its time has passed.
+constexpr double kMinReclaimNoticeS = -1e9;
 
-bool is_task_number(const std::string& digits) {
-  return !digits.empty() && digits.size() <= kMaxTaskNumberDigits &&
+bool is_task_index(const std::string& digits) {
+  return !digits.empty() && digits.size() <= kMaxTaskIndexDigits &&
          std::all_of(digits.begin(), digits.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
 
 TaskId parse_task_id(const std::string& text) {
   const auto slash = text.rfind('/');
   const bool has_job = slash != std::string::npos && slash > 0;
-  const std::string number = has_job ? text.substr(slash + 1) : "";
-  if (!is_task_number(number)) throw Malformed(wire::kTaskId, "is not a task id");
-  return {text.substr(0, slash), static_cast<std::uint32_t>(std::stoul(number))};
+  const std::string index = has_job ? text.substr(slash + 1) : "";
+  if (!is_task_index(index)) throw Malformed(wire::kTaskId, "is not a task id");
+  return {text.substr(0, slash), static_cast<std::uint32_t>(std::stoul(index))};
 }
 
 TaskStatus parse_task_status(const Json& item) {
   TaskStatus task;
   task.id = parse_task_id(text(item, wire::kTaskId));
   task.attempt = integer(item, wire::kAttempt);
-  task.state = named_value(kTaskStates, item, wire::kState);
+  task.state = enum_field(kTaskStates, item, wire::kState);
   if (task.state == TaskState::exited) {
-    task.cause = named_value(kExitCauses, item, wire::kExitCause);
+    task.cause = enum_field(kExitCauses, item, wire::kExitCause);
   }
   if (find(item, wire::kSaved) != nullptr) task.saved = boolean(item, wire::kSaved);
   return task;
@@ -71,7 +71,7 @@
   for (const auto& command : commands) {
     Json item{{wire::kTaskId, command.id.text()},
               {wire::kAttempt, command.attempt},
-              {wire::kCommandType, find_name(kCommandTypes, command.type)}};
+              {wire::kCommandType, name_for_value(kCommandTypes, command.type)}};
     if (command.type == CommandType::kill) item[wire::kGrace] = command.grace_s;
     list.push_back(std::move(item));
   }
@@ -81,17 +81,17 @@
 }  // namespace
 
 const char* cause_name(ExitCause cause) {
-  const char* name = find_name(kExitCauses, cause);
+  const char* name = name_for_value(kExitCauses, cause);
   return name == nullptr ? "none" : name;
 }
 
 bool unchanged(const Heartbeat& a, const Heartbeat& b) {
-  const auto all_but_sequence = [](const Heartbeat& heartbeat) {
+  const auto all_except_sequence = [](const Heartbeat& heartbeat) {
     return std::tie(heartbeat.machine, heartbeat.incarnation, heartbeat.fencing_token,
                     heartbeat.tasks, heartbeat.reclaim_notice_s, heartbeat.address, heartbeat.type,
                     heartbeat.zone, heartbeat.spot);
   };
-  return all_but_sequence(a) == all_but_sequence(b);
+  return all_except_sequence(a) == all_except_sequence(b);
 }
 
 Heartbeat parse_heartbeat(const std::string& body) {
@@ -106,7 +106,7 @@
   heartbeat.sequence = integer(json, wire::kSequence);
   heartbeat.fencing_token = integer(json, wire::kFencingToken);
   if (find(json, wire::kReclaimNotice) != nullptr) {
-    heartbeat.reclaim_notice_s = amount(json, wire::kReclaimNotice, kLeastReclaimNotice);
+    heartbeat.reclaim_notice_s = amount(json, wire::kReclaimNotice, kMinReclaimNoticeS);
   }
   for (const Json& item : array(json, wire::kTasks)) {
     require_object(item, wire::kTasks);
