--- a/src/transport/asio_clock.cpp
+++ b/src/transport/asio_clock.cpp
@@ -29,7 +29,7 @@
   const TimerId id = next_id_++;
   auto timer = std::make_unique<asio::steady_timer>(io_, to_nanoseconds(delay));
   timer->async_wait([this, id, callback = std::move(callback)](const asio::error_code& error) {
-    if (error) return;  // cancelled, and erased already
+    if (error) return;  // cancelled and already erased
     timers_.erase(id);
     callback();
   });
--- a/src/transport/asio_clock.hpp
+++ b/src/transport/asio_clock.hpp
@@ -1,4 +1,4 @@
-/// The clock of the operating system and timers on an event loop.
+/// System clock, and timers on an asio event loop.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -10,8 +10,8 @@
 
 namespace larkroad::transport {
 
-/// Timers that are pending when the clock is destroyed never run. Not thread-safe: to be used on
-/// the thread of the event loop.
+/// Timers still pending when the clock is destroyed never run. Not thread-safe: must be used on the
+/// event loop thread.
 class AsioClock : public Clock {
  public:
   explicit AsioClock(asio::io_context& io) : io_(io) {}
--- a/src/transport/callback_scope.hpp
+++ b/src/transport/callback_scope.hpp
@@ -1,4 +1,4 @@
-/// Ties callbacks to the activity that started them.
+/// Binds callbacks to the lifetime of the activity that created them.
 #pragma once
 
 #include <functional>
@@ -9,12 +9,12 @@
 
 namespace larkroad::transport {
 
-/// Drops timers and answers of an activity that has ended, such as a term of leadership.
+/// Discards timer and reply callbacks of an activity that has ended, such as a leadership term.
 ///
-/// Whatever owns timers or calls under way keeps a scope as a member and passes its callbacks
-/// through `wrap` or `after`. Once the scope is restarted or destroyed, callbacks that were wrapped
-/// before do nothing, so that they cannot touch the state of a later activity. Not thread-safe: to
-/// be used on the one thread of the event loop.
+/// An object that has timers or calls in progress keeps a scope as a member and passes its
+/// callbacks through `wrap` or `after`. Once the scope is restarted or destroyed, callbacks wrapped
+/// earlier do nothing, so they cannot modify the state of a later activity. Not thread-safe: must
+/// be used on the event loop thread.
 class CallbackScope {
  public:
   explicit CallbackScope(Clock& clock) : clock_(clock) {}
@@ -22,10 +22,10 @@
   CallbackScope(const CallbackScope&) = delete;
   CallbackScope& operator=(const CallbackScope&) = delete;
 
-  /// Ends the present activity and begins the next one.
+  /// Ends the current activity and starts the next one.
   void restart() { activity_ = std::make_shared<const Activity>(); }
 
-  /// Returns a callable that forwards to `callback` while the present activity goes on.
+  /// Returns a callable that forwards to `callback` until the current activity ends.
   template <typename Callback>
   auto wrap(Callback callback) const {
     return [activity = std::weak_ptr<const Activity>(activity_),
@@ -34,12 +34,12 @@
     };
   }
 
-  /// Runs `callback` after `delay`, unless the present activity ends before.
+  /// Runs `callback` after `delay`, unless the current activity ends first.
   void after(Seconds delay, std::function<void()> callback) {
     clock_.after(delay, wrap(std::move(callback)));
   }
 
-  /// Returns a predicate that holds while the present activity goes on.
+  /// Returns a predicate that is true until the current activity ends.
   std::function<bool()> is_current() const {
     return [activity = std::weak_ptr<const Activity>(activity_)] { return !activity.expired(); };
   }
--- a/src/transport/clock.hpp
+++ b/src/transport/clock.hpp
@@ -1,4 +1,4 @@
-/// Time and timers, as an interface so that tests can put a simulated clock in its place.
+/// Interface for time and timers, so that tests can substitute a simulated clock.
 #pragma once
 
 #include <cstdint>
@@ -6,20 +6,20 @@
 
 namespace larkroad::transport {
 
-/// Durations and steady times are seconds as decimals, like everything on the wire.
+/// Durations and steady times, in seconds. Times on the wire are also decimal seconds.
 using Seconds = double;
 using TimerId = std::uint64_t;
 
 class Clock {
  public:
   virtual ~Clock() = default;
-  /// Steady time: never set back. Not comparable between machines.
+  /// Monotonic time. Not comparable between machines.
   virtual Seconds now() const = 0;
-  /// Time of day since 1970, within the error that the settings state.
+  /// Wall clock time since the Unix epoch, accurate to the clock error given in the settings.
   virtual Seconds unix_time() const = 0;
-  /// Runs `callback` on the event loop after `delay`, and never from in here.
+  /// Runs `callback` on the event loop after `delay`, never from within this call.
   virtual TimerId after(Seconds delay, std::function<void()> callback) = 0;
-  /// Ends a timer. One that has run already, or is unknown, is ignored.
+  /// Cancels a timer. Ignored if the timer has already run or is unknown.
   virtual void cancel(TimerId id) = 0;
 };
 
--- a/src/transport/http.hpp
+++ b/src/transport/http.hpp
@@ -1,4 +1,4 @@
-/// HTTP messages, and the interfaces between the transport and everything above it.
+/// HTTP messages, and the interfaces between the transport and the layers above it.
 #pragma once
 
 #include <cstddef>
@@ -9,45 +9,46 @@
 
 namespace larkroad::transport {
 
-/// The protocol's limit on the body of a request; the server refuses larger ones.
+/// The protocol's limit on the size of a request body in bytes; the server rejects larger ones.
 inline constexpr size_t kBodyLimit = size_t{64} * 1024;
 
 struct Request {
   std::string method;
-  std::string target;  ///< path and query, as on the wire
+  std::string target;  ///< path and query, as sent on the wire
   std::string body;
 };
 
 struct Response {
   int status = 0;
   std::string body;
-  int retry_after_s = 0;  ///< the header Retry-After; 0: without it
-  /// The client loses little with its connection. A server that is short of connections closes it
-  /// after this response.
+  int retry_after_s = 0;  ///< value of the Retry-After header; 0 means that it is not sent
+  /// Closing the connection costs this client little. A server close to its connection limit closes
+  /// it after this response.
   bool brief = false;
 };
 
-/// What became of a request.
+/// Outcome of a request.
 enum class Outcome {
   answered,
-  not_sent,  ///< no connection: the request cannot take effect, now or later
-  unknown,   ///< sent, but not answered: it may take effect, perhaps minutes later
+  not_sent,  ///< no connection: the request can never take effect
+  unknown,   ///< sent, but not answered: it may still take effect, even minutes later
 };
 
-/// The response is of use only when the outcome is `answered`.
+/// The response is valid only if the outcome is `answered`.
 using OnReply = std::function<void(Outcome, Response)>;
 
 /// Sends requests to other hosts.
 class Client {
  public:
   virtual ~Client() = default;
-  /// Sends a request to an endpoint (HOST:PORT) and calls `on_reply` once, after `timeout` at the
-  /// latest.
+  /// Sends a request to an endpoint (HOST:PORT) and calls `on_reply` exactly once, at the latest
+  /// after `timeout`.
   virtual void call(const std::string& endpoint, Request request, Seconds timeout,
                     OnReply on_reply) = 0;
 };
 
-/// Answers a request. Only the first call counts; it may be made at any later time.
+/// Sends the response to a request. May be called at any later time; only the first call has an
+/// effect.
 using Respond = std::function<void(Response)>;
 using Handler = std::function<void(Request, Respond)>;
 
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -13,16 +13,16 @@
 namespace larkroad::transport {
 namespace {
 
-// A connection that has been idle for this long is closed.
+// Connections that have been idle for this long are closed.
 constexpr Seconds kIdleLimit = 30;
 constexpr Seconds kCloseExpiredInterval = kIdleLimit / 3;
-// The largest body of a response: the key-value store's pages are 512 KiB, and its answers to
-// watches have no limit of their own.
+// Limit on the size of a response body. Pages of the key-value store are 512 KiB, and its watch
+// responses are not limited in size.
 constexpr size_t kMaxResponseBytes = size_t{8} * 1024 * 1024;
 constexpr size_t kReadBufferBytes = 8192;
 constexpr int kMaxPort = 65535;
-// The part of all connections that is closed at once to make room for new ones.
-constexpr size_t kMakeRoomDivisor = 8;
+// When the socket limit is reached, one out of this many connections is closed to make room.
+constexpr size_t kIdleEvictionDivisor = 8;
 
 std::optional<asio::ip::tcp::endpoint> parse_endpoint(const std::string& text) {
   const auto colon = text.rfind(':');
@@ -49,9 +49,9 @@
 
 }  // namespace
 
-/// One connection to an endpoint: connects for its first request, and is idle between requests.
+/// One connection to an endpoint. Connects on its first request and is idle between requests.
 ///
-/// Kept alive by the handlers that wait in the event loop, and while idle by the pool.
+/// Kept alive by its handlers pending in the event loop and, while idle, by the pool.
 class HttpClient::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(HttpClient& owner, std::string endpoint)
@@ -63,7 +63,7 @@
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
-  /// Sends a request; must not be called while another one is under way.
+  /// Sends a request. Must not be called while another one is in progress.
   void call(const Request& request, Seconds timeout, OnReply on_reply) {
     on_reply_ = std::move(on_reply);
     response_ = {};
@@ -111,12 +111,12 @@
   void connect() {
     const auto endpoint = parse_endpoint(endpoint_);
     if (!endpoint) {
-      // Never from inside call(): the caller must not be entered again before it returns.
+      // Deferred, as the callback must not run before call() has returned.
       (*owner_)->clock_.after(0, [self = shared_from_this()] { self->fail(); });
       return;
     }
     socket_.async_connect(*endpoint, [self = shared_from_this()](const asio::error_code& error) {
-      if (!self->on_reply_) return;  // timed out meanwhile
+      if (!self->on_reply_) return;  // timed out in the meantime
       if (error) {
         self->fail();
         return;
@@ -137,28 +137,28 @@
                       });
   }
 
-  // One read is always under way, so that a connection that the other side closes while it is idle
-  // is noticed before it is used again.
+  // A read is always pending, so that a connection closed by the server while idle is detected
+  // before it is reused.
   void read() {
     socket_.async_read_some(asio::buffer(buffer_), [self = shared_from_this()](
                                                        const asio::error_code& error, size_t size) {
       if (error || !self->on_reply_) {
-        self->handle_end(error);
+        self->handle_disconnect(error);
       } else {
         self->handle_data(size);
       }
     });
   }
 
-  // The connection ended, or the server sent something without a request.
-  void handle_end(const asio::error_code& error) {
+  // Called when the connection ended or the server sent data without a request.
+  void handle_disconnect(const asio::error_code& error) {
     if (error == asio::error::eof && on_reply_) {
-      // The end of the connection may be the end of the response.
+      // End of file may mark the end of the response.
       http_parser_execute(&parser_, &kCallbacks, nullptr, 0);
     }
-    const bool whole = on_reply_ && complete_;
+    const bool response_complete = on_reply_ && complete_;
     close();
-    if (on_reply_) finish(whole);
+    if (on_reply_) finish(response_complete);
   }
 
   void handle_data(size_t size) {
@@ -178,7 +178,7 @@
 
   void fail() { finish(false); }
 
-  // Ends the request under way: the connection is idle or closed before the caller is called back.
+  // Completes the current request. The connection is made idle or closed before the callback runs.
   void finish(bool answered) {
     if (*owner_ == nullptr) return;
     stop_timer();
@@ -229,12 +229,12 @@
   std::string outgoing_;
   http_parser parser_{};
   Response response_;
-  OnReply on_reply_;  // empty: no request is under way
+  OnReply on_reply_;  // empty if no request is in progress
   std::optional<TimerId> timer_;
   Seconds idle_since_ = 0;
   bool connected_ = false;
   bool sent_ = false;      // the request may have reached the server
-  bool complete_ = false;  // the response is whole
+  bool complete_ = false;  // the response has been fully received
   bool closed_ = false;
 };
 
@@ -258,9 +258,10 @@
     connection->call(request, timeout, std::move(on_reply));
     return;
   }
-  // Idle connections make way before a request goes without a socket, which matters where there
-  // are more machines to talk to than sockets.
-  if (open_connections_ >= max_sockets_) close_longest_idle(max_sockets_ / kMakeRoomDivisor + 1);
+  // Close idle connections rather than fail the request, as there may be more machines to contact
+  // than sockets.
+  if (open_connections_ >= max_sockets_)
+    close_longest_idle(max_sockets_ / kIdleEvictionDivisor + 1);
   if (open_connections_ >= max_sockets_) {
     clock_.after(0, [on_reply = std::move(on_reply)] { on_reply(Outcome::not_sent, {}); });
     return;
--- a/src/transport/http_client.hpp
+++ b/src/transport/http_client.hpp
@@ -1,4 +1,4 @@
-/// HTTP/1.1 client with a pool of idle connections to each endpoint.
+/// HTTP/1.1 client with a pool of idle connections per endpoint.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -13,12 +13,12 @@
 
 namespace larkroad::transport {
 
-/// Each connection carries one request at a time. Not thread-safe: to be used on the thread of the
-/// event loop, where the callbacks run. Requests that are under way when the client is destroyed
-/// are not answered.
+/// Each connection carries one request at a time. Not thread-safe: must be used on the event loop
+/// thread, where the callbacks run. Callbacks of requests still in progress when the client is
+/// destroyed are never called.
 class HttpClient : public Client {
  public:
-  /// `max_sockets`: requests beyond it fail at once as not sent.
+  /// Requests that would need more than `max_sockets` connections fail immediately as `not_sent`.
   HttpClient(asio::io_context& io, Clock& clock, size_t max_sockets);
   ~HttpClient() override;
 
@@ -32,10 +32,10 @@
   class Connection;
   using ConnectionPtr = std::shared_ptr<Connection>;
 
-  /// Returns an idle connection to an endpoint, or nullptr.
+  /// Returns an idle connection to an endpoint, or nullptr if there is none.
   ConnectionPtr take_idle(const std::string& endpoint);
   void add_idle(const ConnectionPtr& connection);
-  /// Closes the `count` connections that have been idle for longest.
+  /// Closes the `count` connections that have been idle the longest.
   void close_longest_idle(size_t count);
   void close_expired();
   void schedule_close_expired();
@@ -45,8 +45,8 @@
   size_t max_sockets_;
   size_t open_connections_ = 0;
   std::unordered_map<std::string, std::vector<ConnectionPtr>> idle_;  // by endpoint
-  // What connections reach the client by: holds nullptr once the client is destroyed, which a
-  // connection whose handlers still wait in the event loop may outlive.
+  // Gives connections access to the client. Set to nullptr when the client is destroyed, as a
+  // connection with handlers pending in the event loop may outlive it.
   std::shared_ptr<HttpClient*> self_;
   CallbackScope scope_;
 };
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -14,15 +14,16 @@
 namespace larkroad::transport {
 namespace {
 
-// A connection without a request under way is closed after this; users poll every 5 s or so.
+// Connections without a request in progress are closed after this time. Users poll about every 5 s.
 constexpr Seconds kIdleLimit = 60;
-// A request that has begun must be whole, and a response must be sent, within this.
+// Time within which a request that has started to arrive must be complete, and within which a
+// response must be sent.
 constexpr Seconds kMessageLimit = 10;
 constexpr Seconds kAcceptRetryDelay = 0.05;
 constexpr size_t kReadBufferBytes = 4096;
-// From this part of its connections on a server is short of them. Clients that can do without a
-// lasting connection then take turns, so that health checks and users always find a free one.
-constexpr double kShortOfConnections = 0.75;
+// Above this share of its connection limit, the server closes the connections of clients that do
+// not need a persistent one, so that health checks and users always find a free connection.
+constexpr double kNearLimitShare = 0.75;
 
 const char* reason_phrase(int status) {
   switch (status) {
@@ -69,9 +70,9 @@
 
 }  // namespace
 
-/// One accepted connection: reads a request, waits for its answer, writes it, and begins anew.
+/// One accepted connection. Reads a request, waits for the response, writes it, and repeats.
 ///
-/// Kept alive by the handlers that wait in the event loop and by requests that wait for an answer.
+/// Kept alive by its handlers pending in the event loop and by requests waiting for a response.
 class HttpServer::Session : public std::enable_shared_from_this<Session> {
  public:
   Session(std::shared_ptr<HttpServer*> owner, asio::ip::tcp::socket socket)
@@ -83,7 +84,7 @@
   ~Session() {
     if (*owner_ == nullptr) return;
     stop_timer();
-    (*owner_)->session_ended();
+    (*owner_)->handle_session_closed();
   }
 
   Session(const Session&) = delete;
@@ -97,7 +98,7 @@
 
  private:
   void read() {
-    start_timer(request_begun_ ? kMessageLimit : kIdleLimit);
+    start_timer(request_started_ ? kMessageLimit : kIdleLimit);
     socket_.async_read_some(asio::buffer(buffer_), [self = shared_from_this()](
                                                        const asio::error_code& error, size_t size) {
       if (error) return;
@@ -108,7 +109,7 @@
     });
   }
 
-  // Goes on with what has been received and not yet been parsed.
+  // Continues parsing the bytes that have been received but not yet parsed.
   void parse() {
     while (parsed_ < received_) {
       parsed_ +=
@@ -118,7 +119,7 @@
         return;
       }
       if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK || parser_.upgrade) {
-        refuse(too_large_ ? http_status::kPayloadTooLarge : http_status::kBadRequest);
+        reject(too_large_ ? http_status::kPayloadTooLarge : http_status::kBadRequest);
         return;
       }
     }
@@ -127,7 +128,7 @@
 
   void handle_request() {
     request_complete_ = false;
-    request_begun_ = false;
+    request_started_ = false;
     keep_alive_ = http_should_keep_alive(&parser_) != 0;
     request_.method = http_method_str(static_cast<http_method>(parser_.method));
     http_parser_pause(&parser_, 0);
@@ -136,7 +137,7 @@
     server->handler_(std::exchange(request_, {}), respond_once());
   }
 
-  // The answer may come at once or later; it must be sent no more than once.
+  // The handler may respond immediately or later. Only its first response is sent.
   Respond respond_once() {
     auto responded = std::make_shared<bool>(false);
     return [self = shared_from_this(), responded](const Response& response) {
@@ -145,13 +146,13 @@
     };
   }
 
-  void refuse(int status) {
+  void reject(int status) {
     keep_alive_ = false;
     write({status, R"({"error":"malformed request"})", 0});
   }
 
   void write(const Response& response) {
-    if (response.brief && *owner_ != nullptr && (*owner_)->short_of_connections()) {
+    if (response.brief && *owner_ != nullptr && (*owner_)->near_connection_limit()) {
       keep_alive_ = false;
     }
     outgoing_ = encode_response(response, keep_alive_);
@@ -172,7 +173,7 @@
     socket_.shutdown(asio::ip::tcp::socket::shutdown_both, ignored);
   }
 
-  // Closes the connection unless it is stopped within `limit`.
+  // Closes the connection unless the timer is stopped within `limit`.
   void start_timer(Seconds limit) {
     stop_timer();
     if (*owner_ == nullptr) return;
@@ -192,10 +193,10 @@
 
   static Session& session_of(http_parser* parser) { return *static_cast<Session*>(parser->data); }
 
-  static int handle_begin(http_parser* parser) {
+  static int handle_message_begin(http_parser* parser) {
     Session& session = session_of(parser);
     session.request_ = {};
-    session.request_begun_ = true;
+    session.request_started_ = true;
     session.too_large_ = false;
     return 0;
   }
@@ -217,7 +218,7 @@
 
   static int handle_complete(http_parser* parser) {
     session_of(parser).request_complete_ = true;
-    // Stop here, so that what follows on the connection waits for this answer.
+    // Stop parsing, so that pipelined requests wait for this response.
     http_parser_pause(parser, 1);
     return 0;
   }
@@ -225,7 +226,7 @@
   static http_parser_settings parser_callbacks() {
     http_parser_settings settings;
     http_parser_settings_init(&settings);
-    settings.on_message_begin = handle_begin;
+    settings.on_message_begin = handle_message_begin;
     settings.on_url = handle_url;
     settings.on_body = handle_body;
     settings.on_message_complete = handle_complete;
@@ -242,7 +243,7 @@
   Request request_;
   std::string outgoing_;
   std::optional<TimerId> timer_;
-  bool request_begun_ = false;
+  bool request_started_ = false;
   bool request_complete_ = false;
   bool too_large_ = false;
   bool keep_alive_ = true;
@@ -273,9 +274,9 @@
   acceptor_.listen();
 }
 
-bool HttpServer::short_of_connections() const {
+bool HttpServer::near_connection_limit() const {
   return static_cast<double>(open_connections_) >
-         kShortOfConnections * static_cast<double>(max_connections_);
+         kNearLimitShare * static_cast<double>(max_connections_);
 }
 
 void HttpServer::accept() {
@@ -289,8 +290,8 @@
 
 void HttpServer::handle_accepted(const asio::error_code& error, asio::ip::tcp::socket socket) {
   if (error) {
-    // Out of sockets, most likely: try again shortly rather than spin.
-    spdlog::debug("accept failed: error={}", error.message());
+    // Most likely out of file descriptors: retry after a delay instead of spinning.
+    spdlog::debug("connection accept failed: error={}", error.message());
     scope_.after(kAcceptRetryDelay, [this] { accept(); });
     return;
   }
@@ -298,7 +299,7 @@
   accept();
 }
 
-void HttpServer::session_ended() {
+void HttpServer::handle_session_closed() {
   --open_connections_;
   if (accept_suspended_) accept();
 }
--- a/src/transport/http_server.hpp
+++ b/src/transport/http_server.hpp
@@ -1,4 +1,4 @@
-/// HTTP/1.1 server: one handler for all requests, with limits on time, size and connections.
+/// HTTP/1.1 server with one handler for all requests and limits on time, size and connections.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -11,12 +11,12 @@
 
 namespace larkroad::transport {
 
-/// Each connection carries one request at a time: what follows waits for the answer. Not
-/// thread-safe: to be used on the thread of the event loop, where the handler runs.
+/// Each connection processes one request at a time; pipelined requests wait for the previous
+/// response. Not thread-safe: must be used on the event loop thread, where the handler runs.
 class HttpServer {
  public:
-  /// Listens at once. Connections beyond `max_connections` wait to be accepted. Throws
-  /// std::system_error when it cannot listen.
+  /// Starts listening immediately. Connections beyond `max_connections` wait to be accepted. Throws
+  /// std::system_error if it cannot listen.
   HttpServer(asio::io_context& io, Clock& clock, const Address& listen_address,
              size_t max_connections, Handler handler);
   ~HttpServer();
@@ -30,17 +30,17 @@
   void listen(const Address& address);
   void accept();
   void handle_accepted(const asio::error_code& error, asio::ip::tcp::socket socket);
-  void session_ended();
-  bool short_of_connections() const;
+  void handle_session_closed();
+  bool near_connection_limit() const;
 
   Clock& clock_;
   asio::ip::tcp::acceptor acceptor_;
   size_t max_connections_;
   size_t open_connections_ = 0;
-  bool accept_suspended_ = false;  // until a session ends
+  bool accept_suspended_ = false;  // until a session closes
   Handler handler_;
-  // What sessions reach their server by: holds nullptr once the server is destroyed, which a
-  // session whose handlers still wait in the event loop may outlive.
+  // Gives sessions access to the server. Set to nullptr when the server is destroyed, as a session
+  // with handlers pending in the event loop may outlive it.
   std::shared_ptr<HttpServer*> self_;
   CallbackScope scope_;
 };
