--- a/tests/callback_scope_test.cpp
+++ b/tests/callback_scope_test.cpp
@@ -18,7 +18,7 @@
   std::vector<int> calls;
 };
 
-TEST_F(CallbackScopeTest, ForwardsArgumentsWhileTheActivityGoesOn) {
+TEST_F(CallbackScopeTest, ForwardsArgumentsUntilActivityEnds) {
   const auto callback = scope->wrap([this](int first, int second) {
     calls.push_back(first);
     calls.push_back(second);
@@ -28,14 +28,14 @@
   EXPECT_EQ(calls, (std::vector<int>{1, 2, 3, 4}));
 }
 
-TEST_F(CallbackScopeTest, MovesArgumentsThrough) {
+TEST_F(CallbackScopeTest, ForwardsMoveOnlyArguments) {
   const auto callback =
       scope->wrap([this](std::unique_ptr<int> value) { calls.push_back(*value); });
   callback(std::make_unique<int>(7));
   EXPECT_EQ(calls, (std::vector<int>{7}));
 }
 
-TEST_F(CallbackScopeTest, RestartDropsEarlierCallbacksAlone) {
+TEST_F(CallbackScopeTest, RestartDropsOnlyEarlierCallbacks) {
   const auto earlier = scope->wrap([this] { calls.push_back(1); });
   scope->restart();
   const auto later = scope->wrap([this] { calls.push_back(2); });
@@ -62,7 +62,7 @@
   EXPECT_EQ(calls, (std::vector<int>{1, 2}));
 }
 
-TEST_F(CallbackScopeTest, TimersRunInTheirOrder) {
+TEST_F(CallbackScopeTest, TimersRunInOrderOfDueTime) {
   scope->after(2, [this] { calls.push_back(2); });
   scope->after(1, [this] { calls.push_back(1); });
   clock.run_until(clock.now() + 1.5);
@@ -71,7 +71,7 @@
   EXPECT_EQ(calls, (std::vector<int>{1, 2}));
 }
 
-TEST_F(CallbackScopeTest, TimersOfAnEarlierActivityDoNothing) {
+TEST_F(CallbackScopeTest, TimersOfEarlierActivityDoNothing) {
   scope->after(1, [this] { calls.push_back(1); });
   scope->restart();
   scope->after(1, [this] { calls.push_back(2); });
@@ -79,14 +79,14 @@
   EXPECT_EQ(calls, (std::vector<int>{2}));
 }
 
-TEST_F(CallbackScopeTest, TimersMayOutliveTheScope) {
+TEST_F(CallbackScopeTest, TimersDoNothingAfterDestruction) {
   scope->after(1, [this] { calls.push_back(1); });
   scope.reset();
   clock.run_until(clock.now() + 2);
   EXPECT_TRUE(calls.empty());
 }
 
-TEST_F(CallbackScopeTest, PredicateHoldsUntilTheActivityEnds) {
+TEST_F(CallbackScopeTest, PredicateIsTrueUntilActivityEnds) {
   const auto earlier = scope->is_current();
   EXPECT_TRUE(earlier());
   scope->restart();
--- a/tests/fakes/manual_clock.hpp
+++ b/tests/fakes/manual_clock.hpp
@@ -1,4 +1,4 @@
-/// A clock that moves only when a test moves it.
+/// A simulated clock that a test advances explicitly.
 #pragma once
 
 #include <algorithm>
@@ -10,8 +10,9 @@
 
 namespace larkroad::testing {
 
-/// Runs timers in order of their time and, at one time, in the order in which they were set. A
-/// timer that is set by a running one runs in the same call if it is due by then.
+/// Runs timers in order of their due time; timers due at the same time run in the order in which
+/// they were created. A timer created by a running callback runs in the same call if it is due by
+/// then.
 class ManualClock : public transport::Clock {
  public:
   using Seconds = transport::Seconds;
@@ -22,9 +23,9 @@
   Seconds now() const override { return now_; }
   Seconds unix_time() const override { return unix_offset_ + now_; }
 
-  transport::TimerId after(Seconds delay, std::function<void()> action) override {
+  transport::TimerId after(Seconds delay, std::function<void()> callback) override {
     const transport::TimerId id = ++last_id_;
-    timers_.emplace(std::make_pair(now_ + std::max(0.0, delay), id), std::move(action));
+    timers_.emplace(std::make_pair(now_ + std::max(0.0, delay), id), std::move(callback));
     return id;
   }
 
@@ -32,18 +33,18 @@
     std::erase_if(timers_, [id](const auto& timer) { return timer.first.second == id; });
   }
 
-  /// Runs what is due up to and including `until`, and leaves the time there.
+  /// Runs all timers due up to and including `until`, and then sets the time to `until`.
   void run_until(Seconds until) {
     while (!timers_.empty() && timers_.begin()->first.first <= until) {
       now_ = std::max(now_, timers_.begin()->first.first);
-      auto action = std::move(timers_.begin()->second);
+      auto callback = std::move(timers_.begin()->second);
       timers_.erase(timers_.begin());
-      action();
+      callback();
     }
     now_ = until;
   }
 
-  void run_for(Seconds length) { run_until(now_ + length); }
+  void run_for(Seconds duration) { run_until(now_ + duration); }
 
  private:
   Seconds now_;
--- a/tests/fakes/scripted_client.hpp
+++ b/tests/fakes/scripted_client.hpp
@@ -1,4 +1,4 @@
-/// An HTTP client whose replies a test writes.
+/// A fake HTTP client with replies scripted by the test.
 #pragma once
 
 #include <deque>
@@ -11,9 +11,9 @@
 
 namespace larkroad::testing {
 
-/// Records each call. It is replied to at once with the next reply of the script or, when that is
-/// empty, with the default reply. Without either it stays in `pending`, where the test replies to
-/// it.
+/// Records each call and answers it immediately with the next scripted reply or, if the script is
+/// empty, with the default reply. Without either, the call is kept in `pending` for the test to
+/// answer.
 class ScriptedClient : public transport::Client {
  public:
   struct Reply {
--- a/tests/fakes_test.cpp
+++ b/tests/fakes_test.cpp
@@ -1,4 +1,4 @@
-// The fakes that several tests share.
+// Tests of the fakes shared by several tests.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -12,7 +12,7 @@
 using transport::Outcome;
 using transport::Response;
 
-TEST(ManualClock, RunsTimersInOrderOfTimeAndOfTheirSetting) {
+TEST(ManualClock, RunsTimersInOrderOfDueTimeThenCreation) {
   ManualClock clock(100);
   std::string order;
   clock.after(2, [&] { order += "c"; });
@@ -28,7 +28,7 @@
   EXPECT_EQ(clock.now(), 102);
 }
 
-TEST(ScriptedClient, RepliesFromTheScriptThenByDefaultThenWhenTold) {
+TEST(ScriptedClient, RepliesFromScriptThenDefaultThenManually) {
   ScriptedClient client;
   std::vector<int> statuses;
   const auto call = [&] {
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -1,4 +1,4 @@
-/// The real server and client over loopback.
+/// Tests of the HTTP server and client over the loopback interface.
 #include <gtest/gtest.h>
 
 #include <asio/connect.hpp>
@@ -17,7 +17,7 @@
 class HttpTest : public ::testing::Test {
  protected:
   HttpTest() : clock(io), client(io, clock, 8) {
-    // A free port: taken by binding to 0 first.
+    // Binding to port 0 first finds a free port.
     asio::ip::tcp::acceptor probe(io, {asio::ip::make_address_v4("127.0.0.1"), 0});
     address = {"127.0.0.1", probe.local_endpoint().port()};
     probe.close();
@@ -41,8 +41,8 @@
     return *got;
   }
 
-  // Sends raw bytes and returns what came back until the server closed the connection.
-  std::string raw(const std::string& bytes) {
+  // Sends raw bytes and returns everything received until the server closes the connection.
+  std::string send_raw(const std::string& bytes) {
     asio::ip::tcp::socket socket(io);
     socket.connect({asio::ip::make_address_v4(address.host), address.port});
     std::string out;
@@ -73,7 +73,7 @@
   std::vector<Respond> unanswered;
 };
 
-TEST_F(HttpTest, AnswersOverOnePersistentConnection) {
+TEST_F(HttpTest, AnswersRequestsOverPersistentConnection) {
   for (int i = 0; i < 3; ++i) {
     const auto [outcome, response] = call({"POST", "/echo?x=1", "body"});
     EXPECT_EQ(outcome, Outcome::answered);
@@ -85,12 +85,12 @@
   EXPECT_EQ(call({"GET", "/teapot", ""}).second.status, 418);
 }
 
-TEST_F(HttpTest, LargeBodyArrivesWhole) {
+TEST_F(HttpTest, ReceivesBodyOfMaximumSize) {
   const std::string body(kBodyLimit, 'x');
   EXPECT_EQ(call({"POST", "/echo", body}).second.body.size(), kBodyLimit + 1);
 }
 
-TEST_F(HttpTest, LostAnswerIsUnknownAndRefusedConnectionIsNotSent) {
+TEST_F(HttpTest, TimeoutIsUnknownAndRefusedConnectionIsNotSent) {
   EXPECT_EQ(call({"GET", "/never", ""}, 0.05).first, Outcome::unknown);
   EXPECT_EQ(call({"GET", "/echo", ""}).first, Outcome::answered);
   std::optional<Outcome> got;
@@ -100,7 +100,7 @@
   EXPECT_EQ(*got, Outcome::not_sent);
 }
 
-TEST_F(HttpTest, TooManyRequestsAtOnceAreNotSent) {
+TEST_F(HttpTest, RequestsBeyondSocketLimitAreNotSent) {
   std::vector<Outcome> got;
   for (int i = 0; i < 10; ++i) {
     client.call(address.text(), {"GET", "/never", ""}, 0.2,
@@ -111,17 +111,18 @@
   EXPECT_EQ(std::count(got.begin(), got.end(), Outcome::unknown), 8);
 }
 
-TEST_F(HttpTest, RefusesMalformedRequestsAndServesOthers) {
-  EXPECT_TRUE(raw("NONSENSE\r\n\r\n").starts_with("HTTP/1.1 400 "));
-  EXPECT_TRUE(raw("POST /echo HTTP/1.1\r\nContent-Length: x\r\n\r\n").starts_with("HTTP/1.1 400 "));
+TEST_F(HttpTest, RejectsMalformedRequestsAndServesOthers) {
+  EXPECT_TRUE(send_raw("NONSENSE\r\n\r\n").starts_with("HTTP/1.1 400 "));
+  EXPECT_TRUE(
+      send_raw("POST /echo HTTP/1.1\r\nContent-Length: x\r\n\r\n").starts_with("HTTP/1.1 400 "));
   const std::string large =
       "POST /echo HTTP/1.1\r\nContent-Length: 70000\r\n\r\n" + std::string(kBodyLimit + 1, 'x');
-  EXPECT_TRUE(raw(large).starts_with("HTTP/1.1 413 "));
+  EXPECT_TRUE(send_raw(large).starts_with("HTTP/1.1 413 "));
   EXPECT_EQ(call({"GET", "/echo", ""}).second.status, 200);
 }
 
 TEST_F(HttpTest, HonoursConnectionClose) {
-  const std::string answer = raw("GET /echo HTTP/1.1\r\nConnection: close\r\n\r\n");
+  const std::string answer = send_raw("GET /echo HTTP/1.1\r\nConnection: close\r\n\r\n");
   EXPECT_TRUE(answer.starts_with("HTTP/1.1 200 "));
   EXPECT_NE(answer.find("Connection: close"), std::string::npos);
 }
--- a/tests/peer_messages_test.cpp
+++ b/tests/peer_messages_test.cpp
@@ -1,4 +1,4 @@
-// Messages between controllers, against the exact text that versions in production exchange.
+// Tests of messages between controllers against the exact text exchanged by versions in production.
 #include "protocol/peer_messages.hpp"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
 
 class PeerStatusText : public ::testing::TestWithParam<StatusCase> {};
 
-TEST_P(PeerStatusText, IsEncodedAndParsed) {
+TEST_P(PeerStatusText, EncodesAndParses) {
   EXPECT_EQ(encode_peer_status(GetParam().status), GetParam().text);
   EXPECT_EQ(parse_peer_status(GetParam().text), GetParam().status);
 }
@@ -41,7 +41,7 @@
 INSTANTIATE_TEST_SUITE_P(Messages, PeerStatusText, ::testing::ValuesIn(kStatusCases),
                          [](const auto& info) { return std::string(info.param.name); });
 
-TEST(PeerStatus, ThoseOfTheFirstVersionAreEncodedAsTheyWere) {
+TEST(PeerStatus, FirstVersionMessagesAreReencodedIdentically) {
   std::ifstream file(LARKROAD_FIXTURES "/first_version.json");
   const Json fixture = Json::parse(file);
   int messages = 0;
@@ -54,13 +54,13 @@
   EXPECT_GT(messages, 0);
 }
 
-TEST(PeerStatus, UnknownAndNullFieldsAreIgnored) {
+TEST(PeerStatus, IgnoresUnknownAndNullFields) {
   const PeerStatus status = parse_peer_status(
       R"({"member":"node-1","served":true,"token":0,"version":null,"later":[1],"relays_to":3})");
   EXPECT_EQ(status, (PeerStatus{"node-1", true, 0, {}, false, {}, {}, {}}));
 }
 
-TEST(PeerStatus, MalformedOnesAreRefused) {
+TEST(PeerStatus, RejectsMalformedMessages) {
   for (const char* body : {"", "[]", "{}", R"({"member":"node-1","served":true})",
                            R"({"member":"node-1","served":1,"token":1})",
                            R"({"member":"node-1","served":true,"token":-1})",
@@ -71,7 +71,7 @@
   }
 }
 
-TEST(ForwardedRequests, AreEncodedAndParsed) {
+TEST(ForwardedRequest, EncodesAndParses) {
   const ForwardedRequest request{"POST", "/v2/runs", R"({"ref":"job-1"})"};
   const std::string text = R"({"body":"{\"ref\":\"job-1\"}","method":"POST","target":"/v2/runs"})";
   EXPECT_EQ(encode_forwarded_request(request), text);
@@ -79,7 +79,7 @@
   EXPECT_THROW(parse_forwarded_request(R"({"method":"POST","target":"/v2/runs"})"), Malformed);
 }
 
-TEST(ForwardedResponses, AreEncodedAndParsed) {
+TEST(ForwardedResponse, EncodesAndParses) {
   const ForwardedResponse response{503, "{}", 2};
   const std::string text = R"({"body":"{}","retry_after":2,"status":503})";
   EXPECT_EQ(encode_forwarded_response(response), text);
@@ -87,7 +87,7 @@
   EXPECT_THROW(parse_forwarded_response(R"({"body":"{}","status":503})"), Malformed);
 }
 
-TEST(CancellationNotices, AreEncodedAndParsed) {
+TEST(CancellationNotice, EncodesAndParses) {
   const CancellationNotice notice{"node-1", "job-1"};
   const std::string text = R"({"job":"job-1","member":"node-1"})";
   EXPECT_EQ(encode_cancellation_notice(notice), text);
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -1,4 +1,4 @@
-/// The messages of users, workers and the cloud, as they are on the wire.
+/// Tests of the wire format of user, worker and cloud messages.
 #include <gtest/gtest.h>
 
 #include "coordination/api/user_api.hpp"
@@ -34,12 +34,12 @@
   EXPECT_DOUBLE_EQ(*spec.deadline_s, 900);
 }
 
-TEST(Submission, RecordGivesTheSameJobBack) {
+TEST(Submission, RecordRoundTrips) {
   const JobSpec spec = parse_submission(submission());
   EXPECT_EQ(encode_spec(decode_spec(spec.id, encode_spec(spec))), encode_spec(spec));
 }
 
-TEST(Submission, NullEqualsOmittedWhereAllowed) {
+TEST(Submission, OptionalFieldsMayBeNullOrOmitted) {
   for (const char* key : {"breeds", "yard", "dueS"}) {
     Json json = submission();
     json[key] = nullptr;
@@ -52,9 +52,9 @@
   EXPECT_NO_THROW(parse_submission(json));
 }
 
-TEST(Submission, EveryOtherFieldIsNeeded) {
-  const Json whole = submission();
-  for (const auto& [key, value] : whole.items()) {
+TEST(Submission, AllOtherFieldsAreRequired) {
+  const Json complete = submission();
+  for (const auto& [key, value] : complete.items()) {
     if (key == "breeds" || key == "yard" || key == "dueS") continue;
     Json json = submission();
     json.erase(key);
@@ -64,7 +64,7 @@
   }
 }
 
-TEST(Submission, RefusesWhatIsInvalid) {
+TEST(Submission, RejectsInvalidValues) {
   const struct {
     const char* key;
     const char* value;
@@ -86,13 +86,13 @@
   }
 }
 
-TEST(Submission, RefusesBodiesThatAreNoObject) {
+TEST(Submission, RejectsBodiesThatAreNotObjects) {
   for (const char* body : {"", "{", "[]", "7", "null", R"({"ref":1,"ref":2})", "{} trailing"}) {
     EXPECT_THROW(parse_object(body), Malformed) << body;
   }
 }
 
-TEST(Submission, MalformedNamesTheField) {
+TEST(Submission, ErrorNamesTheField) {
   const struct {
     const char* key;
     const char* value;
@@ -122,7 +122,7 @@
   }
 }
 
-TEST(Submission, ContradictoryZonesAreNamedTogether) {
+TEST(Submission, ContradictoryZoneConstraintsNameBothFields) {
   Json json = submission();
   json["apart"] = true;
   try {
@@ -133,7 +133,7 @@
   }
 }
 
-TEST(Submission, NeverRunnable) {
+TEST(Submission, DetectsJobsThatCanNeverRun) {
   Settings settings = testing::settings();
   settings.teams.push_back({"guests", 0, kNoLimit, 0, kNoLimit});
   const auto types = testing::types();
@@ -142,57 +142,58 @@
     void (*change)(JobSpec&);
     bool runnable;
   } cases[] = {
-      {"as it is", [](JobSpec&) {}, true},
+      {"default job", [](JobSpec&) {}, true},
       {"unknown team", [](JobSpec& s) { s.team = "green"; }, false},
       {"too large for any machine", [](JobSpec& s) { s.cpus = 17; }, false},
       {"too much memory", [](JobSpec& s) { s.memory_gb = 65; }, false},
-      {"type that is not there", [](JobSpec& s) { s.types = {{"huge"}}; }, false},
-      {"fits only a type that is not allowed",
+      {"unknown machine type", [](JobSpec& s) { s.types = {{"huge"}}; }, false},
+      {"fits only a machine type that is not allowed",
        [](JobSpec& s) {
          s.cpus = 8;
          s.types = {{"small"}};
        },
        false},
-      {"zone that is not there", [](JobSpec& s) { s.zone = "north"; }, false},
-      {"type not in the zone",
+      {"unknown zone", [](JobSpec& s) { s.zone = "north"; }, false},
+      {"machine type not available in the zone",
        [](JobSpec& s) {
          s.gpus = 1;
          s.zone = "west";
        },
        false},
-      {"array larger than the limit: a task at a time", [](JobSpec& s) { s.tasks = 100; }, true},
+      {"array larger than the limit, which can run a few tasks at a time",
+       [](JobSpec& s) { s.tasks = 100; }, true},
       {"gang larger than the limit",
        [](JobSpec& s) {
          s.shape = protocol::Shape::gang;
          s.tasks = 17;
        },
        false},
-      {"gang of just the limit",
+      {"gang exactly at the limit",
        [](JobSpec& s) {
          s.shape = protocol::Shape::gang;
          s.tasks = 16;
        },
        true},
-      // All its replicas are to run, so all together must fit.
+      // All replicas must run at the same time, so together they must fit.
       {"service larger than the limit",
        [](JobSpec& s) {
          s.shape = protocol::Shape::service;
          s.tasks = 17;
        },
        false},
-      {"service of just the limit",
+      {"service exactly at the limit",
        [](JobSpec& s) {
          s.shape = protocol::Shape::service;
          s.tasks = 16;
        },
        true},
-      {"service of which a replica fits no machine",
+      {"service whose replicas fit no machine",
        [](JobSpec& s) {
          s.shape = protocol::Shape::service;
          s.cpus = 17;
        },
        false},
-      {"service to be spread where one zone only fits",
+      {"spread service that fits in only one zone",
        [](JobSpec& s) {
          s.shape = protocol::Shape::service;
          s.spread = true;
@@ -200,19 +201,19 @@
          s.gpus = 1;
        },
        false},
-      {"a guest team, which has no limit",
+      {"team without a limit",
        [](JobSpec& s) {
          s.team = "guests";
          s.tasks = 25'000;
        },
        true},
-      {"gpus for a team that has none",
+      {"GPUs for a team that may use none",
        [](JobSpec& s) {
          s.team = "blue";
          s.gpus = 1;
        },
        false},
-      {"gang to be spread where one zone only fits",
+      {"spread gang that fits in only one zone",
        [](JobSpec& s) {
          s.shape = protocol::Shape::gang;
          s.spread = true;
@@ -228,7 +229,7 @@
   }
 }
 
-TEST(UserCalls, Routes) {
+TEST(UserCalls, RouteByMethodAndPath) {
   const struct {
     const char* method;
     const char* target;
@@ -258,7 +259,7 @@
   }
 }
 
-TEST(RelayedHeartbeats, SayTheSameInCompactForm) {
+TEST(RelayedHeartbeats, CompactFormRoundTrips) {
   const Heartbeat heartbeat = parse_heartbeat(R"({"perch":"i-000231","address":"10.1.0.232:9000",
     "breed":"g8","yard":"a","loaners":true,"flight":3,"tick":88,"baton":41,"recallS":7.5,"legs":[
     {"leg":"job-000412/3","try":2,"stage":"running"},
@@ -269,22 +270,22 @@
   item.heartbeat = heartbeat;
   const RelayBatch batch{"node-1", 41, {item}};
   const std::string body = encode_batch(batch);
-  const RelayBatch back = parse_batch(body);
-  ASSERT_EQ(back.heartbeats.size(), 1u);
-  ASSERT_TRUE(back.heartbeats[0].heartbeat);
-  EXPECT_TRUE(unchanged(*back.heartbeats[0].heartbeat, heartbeat));
-  EXPECT_EQ(back.heartbeats[0].heartbeat->sequence, 88u);
-  EXPECT_EQ(back.heartbeats[0].heartbeat->reclaim_notice_s, 7.5);
-  // A state or a cause that does not exist, and a field of another kind.
+  const RelayBatch parsed = parse_batch(body);
+  ASSERT_EQ(parsed.heartbeats.size(), 1u);
+  ASSERT_TRUE(parsed.heartbeats[0].heartbeat);
+  EXPECT_TRUE(unchanged(*parsed.heartbeats[0].heartbeat, heartbeat));
+  EXPECT_EQ(parsed.heartbeats[0].heartbeat->sequence, 88u);
+  EXPECT_EQ(parsed.heartbeats[0].heartbeat->reclaim_notice_s, 7.5);
+  // An invalid state, an invalid exit cause and a field of the wrong type.
   for (const auto& [from, to] : std::vector<std::pair<std::string, std::string>>{
            {R"("job-000412",3,2,2,0)", R"("job-000412",3,2,5,0)"},
            {R"("job-000398",0,1,4,8)", R"("job-000398",0,1,4,9)"},
            {R"("job-000412",3,2)", R"("job-000412","x",2)"}}) {
-    std::string wrong = body;
-    const auto at = wrong.find(from);
+    std::string malformed = body;
+    const auto at = malformed.find(from);
     ASSERT_NE(at, std::string::npos) << from << " in " << body;
-    wrong.replace(at, from.size(), to);
-    EXPECT_THROW(parse_batch(wrong), Malformed) << to;
+    malformed.replace(at, from.size(), to);
+    EXPECT_THROW(parse_batch(malformed), Malformed) << to;
   }
 }
 
@@ -303,7 +304,7 @@
   EXPECT_TRUE(heartbeat.tasks[1].saved);
 }
 
-TEST(Heartbeats, RefusesWhatIsMalformed) {
+TEST(Heartbeats, RejectsMalformedMessages) {
   const std::string head =
       R"({"perch":"i","address":"a:1","breed":"g","yard":"a","loaners":false,"flight":1,"tick":2,)";
   for (const char* rest : {
@@ -319,7 +320,7 @@
   }
 }
 
-TEST(Commands, AreWrittenAsTheProtocolSays) {
+TEST(Commands, AreEncodedInWireFormat) {
   const std::vector<Command> commands{{CommandType::launch, {"job-1", 4}, 2, 0},
                                       {CommandType::kill, {"job-2", 1}, 1, 10},
                                       {CommandType::forget, {"job-3", 0}, 3, 0}};
@@ -334,7 +335,7 @@
   EXPECT_EQ(Json::parse(encode_redirect("perch-2")), Json::parse(R"({"home":"perch-2"})"));
 }
 
-TEST(Cloud, ReadsCatalogAndMachines) {
+TEST(Cloud, ReadsCatalogAndMachineList) {
   const std::string catalog = R"({"breeds":[{"name":"g8","cores":96,"accelerators":8,"memGb":768,
     "localGb":200,"fetchGbPerS":1.0,"hourly":12.0,"marketPrice":4.5,"bootS":45,
     "yards":["a","b"]}]})";
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -7,7 +7,7 @@
 namespace larkroad {
 namespace {
 
-std::string replaced(std::string text, const std::string& from, const std::string& to) {
+std::string with_replacement(std::string text, const std::string& from, const std::string& to) {
   const auto at = text.find(from);
   EXPECT_NE(at, std::string::npos) << from;
   return text.replace(at, from.size(), to);
@@ -22,12 +22,12 @@
   ASSERT_EQ(s.teams.size(), 2u);
   EXPECT_DOUBLE_EQ(s.team("red")->gpus_max, 4);
   EXPECT_DOUBLE_EQ(s.team("blue")->gpus_max, 0);
-  // A team without a quota: neither a guarantee nor a limit.
+  // A team without a quota has neither a guarantee nor a limit.
   for (const char* given : {"", "cpus = 0.0\ncpus_max = 0.0\ngpus = 0.0\ngpus_max = 0.0\n"}) {
     const auto with_guests =
-        parse_settings(replaced(testing::settings_text(), "[[cluster.objectives]]",
-                                "[[cluster.teams]]\nname = \"guests\"\n" + std::string(given) +
-                                    "\n[[cluster.objectives]]"));
+        parse_settings(with_replacement(testing::settings_text(), "[[cluster.objectives]]",
+                                        "[[cluster.teams]]\nname = \"guests\"\n" +
+                                            std::string(given) + "\n[[cluster.objectives]]"));
     EXPECT_DOUBLE_EQ(with_guests.team("guests")->cpus, 0) << given;
     EXPECT_DOUBLE_EQ(with_guests.team("guests")->cpus_max, kNoLimit) << given;
     EXPECT_DOUBLE_EQ(with_guests.team("guests")->gpus_max, kNoLimit) << given;
@@ -40,7 +40,7 @@
   EXPECT_EQ(s.sockets, 200);
 }
 
-TEST(Settings, NextLimitsOfTheStore) {
+TEST(Settings, NextStoreLimits) {
   const std::string text = testing::settings_text();
   const Settings none = parse_settings(text);
   EXPECT_DOUBLE_EQ(none.next_store_limits.value_kb, 4);
@@ -49,13 +49,16 @@
   const Settings some = parse_settings(text + next);
   EXPECT_DOUBLE_EQ(some.store_limits.value_kb, 4);
   EXPECT_DOUBLE_EQ(some.next_store_limits.value_kb, 2);
-  EXPECT_DOUBLE_EQ(some.next_store_limits.rps, 100) << "not named: as at present";
-  // The smaller one of each.
+  EXPECT_DOUBLE_EQ(some.next_store_limits.rps, 100)
+      << "a limit that is not given keeps its current value";
+  // The smaller of the current and the next value of each limit.
   EXPECT_DOUBLE_EQ(some.lasting_store_limits().value_kb, 2);
   EXPECT_DOUBLE_EQ(some.lasting_store_limits().write_rps, 18);
   EXPECT_EQ(some.lasting_store_limits().max_transaction_changes, 8);
-  for (const char* wrong : {"value_kb = 0.0", "txn_ops = 2.5", "write_rps = -1.0", "rps = \"x\""}) {
-    EXPECT_THROW(parse_settings(text + "[cluster.state.next]\n" + wrong), SettingsError) << wrong;
+  for (const char* invalid :
+       {"value_kb = 0.0", "txn_ops = 2.5", "write_rps = -1.0", "rps = \"x\""}) {
+    EXPECT_THROW(parse_settings(text + "[cluster.state.next]\n" + invalid), SettingsError)
+        << invalid;
   }
 }
 
@@ -96,7 +99,7 @@
   for (const auto& c : cases) {
     SCOPED_TRACE(std::string(c.from) + " -> " + c.to);
     try {
-      parse_settings(replaced(testing::settings_text(), c.from, c.to));
+      parse_settings(with_replacement(testing::settings_text(), c.from, c.to));
       ADD_FAILURE() << "accepted";
     } catch (const SettingsError& error) {
       EXPECT_NE(std::string(error.what()).find(std::string("settings: ") + c.named + " "),
@@ -137,7 +140,7 @@
   for (const auto& c : cases) {
     try {
       parse_operators(c.text);
-      ADD_FAILURE() << c.text << " is accepted";
+      ADD_FAILURE() << "accepted: " << c.text;
     } catch (const SettingsError& error) {
       EXPECT_NE(std::string(error.what()).find(c.named), std::string::npos) << error.what();
     }
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -1,5 +1,5 @@
-/// What several tests share: settings of a small deployment of their own, and machines and jobs for
-/// a cluster.
+/// Helpers shared by several tests: settings of a small deployment, and machines and jobs of a
+/// cluster.
 #pragma once
 
 #include <string>
@@ -9,8 +9,8 @@
 
 namespace larkroad::testing {
 
-/// A small deployment in two zones with two teams; no figures of any real one.
-// NOLINTNEXTLINE(readability-function-size): one literal, the settings file.
+/// Settings of a small fictitious deployment with two zones and two teams.
+// NOLINTNEXTLINE(readability-function-size): a single literal, the settings file.
 inline std::string settings_text() {
   return R"(
 member = "node-0"
@@ -81,7 +81,7 @@
 
 inline Settings settings() { return parse_settings(settings_text()); }
 
-/// Types of machines; only "gpu" has GPUs, and it is in one zone only.
+/// Machine types. Only "gpu" has GPUs, and it is available in only one zone.
 inline std::vector<protocol::MachineType> types() {
   protocol::MachineType small{"small", 4, 0, 16, 50, 0.5, 0.2, 0.05, 30, {"east", "west"}};
   protocol::MachineType large{"large", 16, 0, 64, 50, 0.5, 1.0, 0.25, 40, {"east", "west"}};
@@ -89,7 +89,7 @@
   return {small, large, gpu};
 }
 
-/// A job of team "red" whose tasks any machine may run.
+/// A job of team "red" whose tasks may run on any machine.
 inline protocol::JobSpec spec(const std::string& id, std::uint32_t tasks = 1, double cpus = 2) {
   protocol::JobSpec spec;
   spec.id = id;
@@ -104,7 +104,7 @@
   return spec;
 }
 
-/// A service of that team, whose replicas run until it is cancelled.
+/// A service of team "red" whose replicas run until it is cancelled.
 inline protocol::JobSpec service(const std::string& id, std::uint32_t replicas = 3,
                                  double cpus = 1) {
   protocol::JobSpec service = spec(id, replicas, cpus);
@@ -115,14 +115,14 @@
   return service;
 }
 
-/// Adds a job that has been accepted.
+/// Adds an accepted job.
 inline coordination::Job& add_job(coordination::ClusterState& cluster,
                                   const protocol::JobSpec& spec, double submitted_at = 0) {
   constexpr std::uint32_t kTasksPerShard = 64;
   return cluster.add_job(spec.id, {spec, submitted_at, kTasksPerShard, false}, 1);
 }
 
-/// Adds a machine that is up, known to the cloud's list and idle.
+/// Adds an idle machine that is up and in the cloud's machine list.
 inline coordination::Machine& add_machine(coordination::ClusterState& cluster,
                                           const std::string& name, const std::string& type,
                                           const std::string& zone = "east", bool spot = false) {
@@ -134,7 +134,7 @@
   machine.spot = spot;
   machine.address = "10.0.0.1:1";
   machine.rented_at = 0.001;
-  machine.last_worker_heartbeat_at = 1e6;  // later than any time of the tests: it goes on reporting
+  machine.last_worker_heartbeat_at = 1e6;  // later than any time in the tests: stays alive
   cluster.set_type(machine, type);
   return machine;
 }
