--- a/src/coordination/api/user_api.cpp
+++ b/src/coordination/api/user_api.cpp
@@ -15,7 +15,8 @@
 UserApi::UserApi(transport::Clock& clock, storage::KeyValueClient& store,
                  const MachineCatalog& catalog, const Settings& settings)
     : lookup_(clock, store, settings, progress_),
-      submission_(clock, store, lookup_, catalog, settings, [this] { return services_known(); }),
+      submission_(clock, store, lookup_, catalog, settings,
+                  [this] { return services_supported(); }),
       cancellation_(clock, store, lookup_, settings,
                     [this](const std::string& id) { on_cancelled(id); }) {}
 
--- a/src/coordination/api/user_api.hpp
+++ b/src/coordination/api/user_api.hpp
@@ -40,7 +40,7 @@
   /// The result of health checks.
   std::function<bool()> healthy = [] { return true; };
   /// Whether every controller supports services; until then no service is accepted.
-  std::function<bool()> services_known = [] { return true; };
+  std::function<bool()> services_supported = [] { return true; };
   /// Called once a cancellation is durable, before the response is sent.
   std::function<void(const std::string& id)> on_cancelled = [](const std::string&) {};
 
--- a/src/coordination/controller/controller.cpp
+++ b/src/coordination/controller/controller.cpp
@@ -74,7 +74,7 @@
     leader_.cancelled_by_peer(job);
     cancellations_.notify_peers(job);
   };
-  user_api_.services_known = [this] { return versions_.all_understand(kServicesVersion); };
+  user_api_.services_supported = [this] { return versions_.all_support(kServicesVersion); };
   user_api_.healthy = [this] { return is_healthy(); };
   catalog_.set_on_change([this] { leader_.update_machine_types(); });
   heartbeat_router_.set_on_distribution_changed([this] { status_exchange_.send_status(); });
@@ -114,7 +114,7 @@
   if (!store_.answered_ever() || !catalog_.known()) return false;
   if (store_.failing_for() < settings_.lease_s * kUnhealthyRatio) return true;
   // During a store outage no peer can serve users any better, so stay healthy.
-  return !peers_.any_has_store(clock_.now());
+  return !peers_.any_has_store_access(clock_.now());
 }
 
 void Controller::run_periodic_tasks() {
--- a/src/coordination/controller/controller.hpp
+++ b/src/coordination/controller/controller.hpp
@@ -9,7 +9,7 @@
 #include "coordination/api/request_forwarder.hpp"
 #include "coordination/api/user_api.hpp"
 #include "coordination/controller/heartbeat_router.hpp"
-#include "coordination/controller/peer_gossip.hpp"
+#include "coordination/controller/peer_status_exchange.hpp"
 #include "coordination/election/election.hpp"
 #include "coordination/election/unreachable_leader_watch.hpp"
 #include "coordination/leader/leader.hpp"
@@ -84,7 +84,7 @@
   StoreRelayServer store_relay_server_;
   Relay relay_;
   HeartbeatRouter heartbeat_router_;
-  PeerGossip status_exchange_;
+  PeerStatusExchange status_exchange_;
   CancellationNotifier cancellations_;
 };
 
--- a/src/coordination/controller/heartbeat_router.cpp
+++ b/src/coordination/controller/heartbeat_router.cpp
@@ -54,7 +54,7 @@
   // same change again on every heartbeat.
   if (components_.election.is_leader() &&
       components_.leader.relay_assignment().distributes_workers() !=
-          components_.announcements.last_sent()) {
+          components_.announcements.last_sent_workers_distributed()) {
     on_distribution_changed_();
   }
 }
@@ -118,7 +118,7 @@
   }
   // A leader that runs the first version does not read batches from the store.
   relay.allow_store_route(components_.store.failing_for() == 0 &&
-                          components_.versions.all_understand(kServicesVersion));
+                          components_.versions.all_support(kServicesVersion));
 }
 
 bool HeartbeatRouter::receives_heartbeats() const {
--- a/src/coordination/controller/peer_gossip.cpp
+++ b/src/coordination/controller/peer_status_exchange.cpp
@@ -1,4 +1,4 @@
-#include "coordination/controller/peer_gossip.hpp"
+#include "coordination/controller/peer_status_exchange.hpp"
 
 #include <cstddef>
 #include <unordered_map>
@@ -33,13 +33,15 @@
 
 }  // namespace
 
-PeerGossip::PeerGossip(transport::Clock& clock, transport::Client& client, const Settings& settings,
-                       Components components)
+PeerStatusExchange::PeerStatusExchange(transport::Clock& clock, transport::Client& client,
+                                       const Settings& settings, Components components)
     : clock_(clock), client_(client), settings_(settings), components_(components) {}
 
-Seconds PeerGossip::interval() const { return settings_.heartbeat_interval_s * kIntervalRatio; }
+Seconds PeerStatusExchange::interval() const {
+  return settings_.heartbeat_interval_s * kIntervalRatio;
+}
 
-void PeerGossip::send_status() {
+void PeerStatusExchange::send_status() {
   const std::string body = protocol::encode_peer_status(own_status());
   for (const auto& peer : settings_.peers) {
     client_.call(
@@ -51,7 +53,7 @@
   }
 }
 
-protocol::PeerStatus PeerGossip::own_status() {
+protocol::PeerStatus PeerStatusExchange::own_status() {
   components_.heartbeat_router.update_relay_target();
   const storage::KeyValueClient& store = components_.store;
   protocol::PeerStatus status;
@@ -65,20 +67,20 @@
   return status;
 }
 
-void PeerGossip::add_leader_status(protocol::PeerStatus& status) {
+void PeerStatusExchange::add_leader_status(protocol::PeerStatus& status) {
   const bool distributes_workers = components_.leader.relay_assignment().distributes_workers();
   status.distributes_workers = distributes_workers;
-  components_.announcements.sent(distributes_workers);
+  components_.announcements.record_sent(distributes_workers);
   auto progress = components_.leader.progress();
   status.jobs = to_message(progress);
   components_.user_api.set_progress(std::move(progress));
 }
 
-void PeerGossip::handle_status(const std::string& body) {
+void PeerStatusExchange::handle_status(const std::string& body) {
   const protocol::PeerStatus status = protocol::parse_peer_status(body);
   const Seconds now = clock_.now();
   // The first version sends no version field.
-  components_.versions.peer_reported(status.member, status.version.value_or(kFirstVersion));
+  components_.versions.record_peer_version(status.member, status.version.value_or(kFirstVersion));
   components_.peers.observe(status, now);
   components_.election.observe_fencing_token(status.fencing_token);
   if (components_.election.holds_leader_key() && status.relays_to == settings_.member) {
@@ -88,13 +90,13 @@
   observe_job_progress(status);
 }
 
-void PeerGossip::observe_leader_announcement(const protocol::PeerStatus& status) {
+void PeerStatusExchange::observe_leader_announcement(const protocol::PeerStatus& status) {
   if (!status.distributes_workers || components_.election.is_leader()) return;
-  components_.announcements.received(status.member, status.fencing_token,
-                                     *status.distributes_workers, clock_.now());
+  components_.announcements.record_received(status.member, status.fencing_token,
+                                            *status.distributes_workers, clock_.now());
 }
 
-void PeerGossip::observe_job_progress(const protocol::PeerStatus& status) {
+void PeerStatusExchange::observe_job_progress(const protocol::PeerStatus& status) {
   if (!status.jobs || components_.election.is_leader()) return;
   components_.user_api.set_progress(from_message(*status.jobs));
 }
--- a/src/coordination/controller/peer_gossip.hpp
+++ b/src/coordination/controller/peer_status_exchange.hpp
@@ -23,7 +23,7 @@
 
 namespace larkroad::coordination {
 
-class PeerGossip {
+class PeerStatusExchange {
  public:
   /// Sources of the own status and receivers of peer status. All must outlive this object.
   struct Components {
@@ -38,8 +38,8 @@
     LeaderAnnouncements& announcements;
   };
 
-  PeerGossip(transport::Clock& clock, transport::Client& client, const Settings& settings,
-             Components components);
+  PeerStatusExchange(transport::Clock& clock, transport::Client& client, const Settings& settings,
+                     Components components);
 
   /// The interval at which `send_status` is to be called.
   Seconds interval() const;
--- a/src/coordination/membership/leader_announcements.cpp
+++ b/src/coordination/membership/leader_announcements.cpp
@@ -2,16 +2,16 @@
 
 namespace larkroad::coordination {
 
-void LeaderAnnouncements::received(const std::string& member, std::uint64_t fencing_token,
-                                   bool distributes_workers, Seconds now) {
+void LeaderAnnouncements::record_received(const std::string& member, std::uint64_t fencing_token,
+                                          bool distributes_workers, Seconds now) {
   if (newest_ && fencing_token < newest_->fencing_token) return;
   workers_distributed_ = distributes_workers;
   newest_ = {member, fencing_token, now};
 }
 
-void LeaderAnnouncements::sent(bool distributes_workers) {
+void LeaderAnnouncements::record_sent(bool distributes_workers) {
   workers_distributed_ = distributes_workers;
-  last_sent_ = distributes_workers;
+  last_sent_workers_distributed_ = distributes_workers;
 }
 
 const LeaderAnnouncements::Announcement* LeaderAnnouncements::current(std::uint64_t leader_revision,
--- a/src/coordination/membership/leader_announcements.hpp
+++ b/src/coordination/membership/leader_announcements.hpp
@@ -3,7 +3,7 @@
 ///
 /// A controller normally learns of the leader from the key-value store. Announcements inform one
 /// that cannot reach the store, so that it can go on relaying heartbeats. Owned by `Controller`,
-/// updated by `PeerGossip`.
+/// updated by `PeerStatusExchange`.
 #pragma once
 
 #include <cstdint>
@@ -29,10 +29,10 @@
 
   /// Records that a peer has announced itself as the leader with this token. Announcements of an
   /// earlier term, which may arrive late, are ignored.
-  void received(const std::string& member, std::uint64_t fencing_token, bool distributes_workers,
-                Seconds now);
+  void record_received(const std::string& member, std::uint64_t fencing_token,
+                       bool distributes_workers, Seconds now);
   /// Records that this controller has announced itself as the leader.
-  void sent(bool distributes_workers);
+  void record_sent(bool distributes_workers);
 
   /// The newest announcement of a peer; nullptr if it is older than a heartbeat interval, or if the
   /// leader known from the store was elected at the same or a later revision.
@@ -42,13 +42,13 @@
   bool workers_distributed() const { return workers_distributed_; }
   /// Whether workers were distributed according to the last announcement that this controller sent
   /// as the leader; false if it never sent one.
-  bool last_sent() const { return last_sent_; }
+  bool last_sent_workers_distributed() const { return last_sent_workers_distributed_; }
 
  private:
   const Settings& settings_;
   std::optional<Announcement> newest_;
   bool workers_distributed_ = false;
-  bool last_sent_ = false;
+  bool last_sent_workers_distributed_ = false;
 };
 
 }  // namespace larkroad::coordination
--- a/src/coordination/membership/member_versions.cpp
+++ b/src/coordination/membership/member_versions.cpp
@@ -34,7 +34,7 @@
   poll_records();
 }
 
-void MemberVersions::peer_reported(const std::string& member, RecordVersion version) {
+void MemberVersions::record_peer_version(const std::string& member, RecordVersion version) {
   RecordVersion& known = reported_[member];
   if (known == version) return;
   known = version;
@@ -43,7 +43,7 @@
   poll_records();
 }
 
-bool MemberVersions::all_understand(RecordVersion version) const {
+bool MemberVersions::all_support(RecordVersion version) const {
   return supports(settings_.member, version) &&
          std::all_of(settings_.peers.begin(), settings_.peers.end(),
                      [&](const PeerSettings& peer) { return supports(peer.member, version); });
@@ -82,7 +82,7 @@
 }
 
 void MemberVersions::poll_records() {
-  if (polling_ || all_understand(kOwnVersion)) return;
+  if (polling_ || all_support(kOwnVersion)) return;
   polling_ = true;
   store_.list(storage::kVersionPrefix, "", [this](const storage::ListReply& reply) {
     handle_records(reply);
--- a/src/coordination/membership/member_versions.hpp
+++ b/src/coordination/membership/member_versions.hpp
@@ -30,10 +30,10 @@
   /// Records this controller's version, and polls those of the others until they are known.
   void start();
   /// Records the version that a peer has reported.
-  void peer_reported(const std::string& member, RecordVersion version);
+  void record_peer_version(const std::string& member, RecordVersion version);
   /// Whether every configured controller is known to support this version. A reported version takes
   /// precedence over the recorded one, as the peer may have been downgraded since.
-  bool all_understand(RecordVersion version) const;
+  bool all_support(RecordVersion version) const;
 
  private:
   struct Record {
--- a/src/coordination/membership/peer_registry.cpp
+++ b/src/coordination/membership/peer_registry.cpp
@@ -15,7 +15,7 @@
                      [&](const PeerSettings& peer) { return peer.member == member; });
 }
 
-bool PeerRegistry::any_has_store(Seconds now) const {
+bool PeerRegistry::any_has_store_access(Seconds now) const {
   return std::any_of(store_available_at_.begin(), store_available_at_.end(),
                      [&](const auto& peer) { return is_recent(peer.second, now); });
 }
--- a/src/coordination/membership/peer_registry.hpp
+++ b/src/coordination/membership/peer_registry.hpp
@@ -1,8 +1,8 @@
 /// The last status report of each peer.
 ///
-/// Owned by `Controller`, updated by `PeerGossip`, and read wherever a controller decides whether a
-/// peer is in a better position to do something. A report expires after one heartbeat interval, so
-/// peers that have crashed or are unreachable are no longer considered.
+/// Owned by `Controller`, updated by `PeerStatusExchange`, and read wherever a controller decides
+/// whether a peer is in a better position to do something. A report expires after one heartbeat
+/// interval, so peers that have crashed or are unreachable are no longer considered.
 #pragma once
 
 #include <cstddef>
@@ -27,7 +27,7 @@
   /// Whether this member is a configured peer.
   bool is_peer(const std::string& member) const;
   /// Whether any peer reaches the key-value store.
-  bool any_has_store(Seconds now) const;
+  bool any_has_store_access(Seconds now) const;
   /// Whether any peer that reaches the key-value store, and could therefore become the leader,
   /// receives heartbeats from workers.
   bool any_receives_heartbeats(Seconds now) const;
--- a/tests/peer_registry_test.cpp
+++ b/tests/peer_registry_test.cpp
@@ -38,7 +38,7 @@
 }
 
 TEST_F(PeerRegistryTest, KnowsNothingBeforeTheFirstReport) {
-  EXPECT_FALSE(registry.any_has_store(0));
+  EXPECT_FALSE(registry.any_has_store_access(0));
   EXPECT_FALSE(registry.any_receives_heartbeats(0));
   EXPECT_EQ(next(0), "");
 }
@@ -53,7 +53,7 @@
 
 TEST_F(PeerRegistryTest, PeersWithoutStoreAccessAreNotChosen) {
   report("node-1", false, true);
-  EXPECT_FALSE(registry.any_has_store(kReportedAt));
+  EXPECT_FALSE(registry.any_has_store_access(kReportedAt));
   EXPECT_FALSE(registry.any_receives_heartbeats(kReportedAt));
   EXPECT_EQ(next(), "");
   report("node-2", true);
@@ -65,10 +65,10 @@
 TEST_F(PeerRegistryTest, ReportsExpireAfterOneHeartbeatInterval) {
   report("node-1", true, true);
   const Seconds expiry = kReportedAt + settings.heartbeat_interval_s;
-  EXPECT_TRUE(registry.any_has_store(expiry - 0.01));
+  EXPECT_TRUE(registry.any_has_store_access(expiry - 0.01));
   EXPECT_TRUE(registry.any_receives_heartbeats(expiry - 0.01));
   EXPECT_EQ(next(expiry - 0.01), "node-1");
-  EXPECT_FALSE(registry.any_has_store(expiry));
+  EXPECT_FALSE(registry.any_has_store_access(expiry));
   EXPECT_FALSE(registry.any_receives_heartbeats(expiry));
   EXPECT_EQ(next(expiry), "");
 }
@@ -81,8 +81,8 @@
 
 TEST_F(LeaderAnnouncementsTest, TheNewestExpiresAfterOneHeartbeatInterval) {
   EXPECT_EQ(announcements.current(0, 0), nullptr);
-  announcements.received("node-1", 5, true, kReportedAt);
-  announcements.received("node-2", 4, false, kReportedAt);  // of an earlier term
+  announcements.record_received("node-1", 5, true, kReportedAt);
+  announcements.record_received("node-2", 4, false, kReportedAt);  // of an earlier term
   const auto* current = announcements.current(4, kReportedAt);
   ASSERT_NE(current, nullptr);
   EXPECT_EQ(current->member, "node-1");
@@ -92,19 +92,19 @@
 }
 
 TEST_F(LeaderAnnouncementsTest, AreIgnoredOnceTheStoreHasShownTheSameOrANewerTerm) {
-  announcements.received("node-1", 5, false, kReportedAt);
+  announcements.record_received("node-1", 5, false, kReportedAt);
   EXPECT_NE(announcements.current(4, kReportedAt), nullptr);
   EXPECT_EQ(announcements.current(5, kReportedAt), nullptr);
   EXPECT_EQ(announcements.current(6, kReportedAt), nullptr);
 }
 
 TEST_F(LeaderAnnouncementsTest, SentAndReceivedOnesAreTrackedSeparately) {
-  announcements.sent(true);
+  announcements.record_sent(true);
   EXPECT_TRUE(announcements.workers_distributed());
-  EXPECT_TRUE(announcements.last_sent());
-  announcements.received("node-1", 5, false, kReportedAt);
+  EXPECT_TRUE(announcements.last_sent_workers_distributed());
+  announcements.record_received("node-1", 5, false, kReportedAt);
   EXPECT_FALSE(announcements.workers_distributed());
-  EXPECT_TRUE(announcements.last_sent());
+  EXPECT_TRUE(announcements.last_sent_workers_distributed());
 }
 
 }  // namespace
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -22,7 +22,7 @@
 }
 
 bool supports_services(World& world, size_t i) {
-  return world.controller(i).versions().all_understand(coordination::kServicesVersion);
+  return world.controller(i).versions().all_support(coordination::kServicesVersion);
 }
 
 int submission_status(World& world, size_t controller, const JobSpec& spec) {
