--- a/src/coordination/controller/controller.cpp
+++ b/src/coordination/controller/controller.cpp
@@ -71,7 +71,7 @@
 
 void Controller::connect_components() {
   user_api_.on_cancelled = [this](const std::string& job) {
-    leader_.cancelled_by_peer(job);
+    leader_.apply_peer_cancellation(job);
     cancellations_.notify_peers(job);
   };
   user_api_.services_supported = [this] { return versions_.all_support(kServicesVersion); };
@@ -175,7 +175,7 @@
   }
   // A leader whose lease has expired also stops the tasks. This is safe because a notice alone
   // never causes a write.
-  if (election_.holds_leader_key() && !leader_.cancelled_by_peer(notice.job)) {
+  if (election_.holds_leader_key() && !leader_.apply_peer_cancellation(notice.job)) {
     respond({400, protocol::encode_error("no such job here"), 0});
     return;
   }
--- a/src/coordination/election/election.cpp
+++ b/src/coordination/election/election.cpp
@@ -43,11 +43,11 @@
   return term_ && term_->lease.allows_answering_heartbeats(clock_.now());
 }
 
-void Election::confirm_view(Seconds sent) {
-  if (term_) term_->lease.confirm_view(sent);
+void Election::confirm_job_view(Seconds sent) {
+  if (term_) term_->lease.confirm_job_view(sent);
 }
 
-Seconds Election::view_interval() const { return lease_duration_ * kViewRatio; }
+Seconds Election::job_view_interval() const { return lease_duration_ * kViewRatio; }
 
 // ------------------------------------------------------------ watching the leader key
 
--- a/src/coordination/election/election.hpp
+++ b/src/coordination/election/election.hpp
@@ -49,10 +49,10 @@
   bool may_answer_heartbeats() const;
   /// Records that the leader has read all job changes stored up to `sent`, the time at which the
   /// call that returned them was sent. A lease renewal does not show this, as the watch may lag.
-  void confirm_view(Seconds sent);
+  void confirm_job_view(Seconds sent);
   /// How long a job watch may block, so that its reply confirms the job view before it gets too
   /// stale to act on.
-  Seconds view_interval() const;
+  Seconds job_view_interval() const;
   /// How long after its last renewal a deposed leader may still have answered heartbeats.
   Seconds grace_period() const { return LeaderLease::grace_period(settings_); }
 
--- a/src/coordination/election/leader_lease.cpp
+++ b/src/coordination/election/leader_lease.cpp
@@ -34,7 +34,7 @@
 
 void LeaderLease::renewed(Seconds sent_at) { renewed_at_ = std::max(renewed_at_, sent_at); }
 
-void LeaderLease::confirm_view(Seconds sent_at) {
+void LeaderLease::confirm_job_view(Seconds sent_at) {
   view_confirmed_at_ = std::max(view_confirmed_at_.value_or(sent_at), sent_at);
 }
 
--- a/src/coordination/election/leader_lease.hpp
+++ b/src/coordination/election/leader_lease.hpp
@@ -7,9 +7,8 @@
 /// was *sent*, because nothing is known about the time after that.
 ///
 /// - Acting (starting tasks, scaling, writing records) requires both confirmations to be more
-/// recent
-///   than the lease duration. Safety does not depend on that alone: each write is conditional on
-///   the leader key, and workers reject lower fencing tokens.
+///   recent than the lease duration. Safety does not depend on that alone: each write is
+///   conditional on the leader key, and workers reject lower fencing tokens.
 /// - Answering heartbeats is allowed for longer, so that an outage of the key-value store does not
 ///   end all running tasks. A cancellation that the leader does not know was recorded after the
 ///   older of the two confirmations. The last answer extends a worker's lease by one lease
@@ -41,7 +40,7 @@
   /// Records that a call sent at `sent_at` renewed the lease while this controller owned the key.
   void renewed(Seconds sent_at);
   /// Records that all job changes stored up to `sent_at` have been read.
-  void confirm_view(Seconds sent_at);
+  void confirm_job_view(Seconds sent_at);
 
   /// Whether the lease has not expired.
   bool is_held(Seconds now) const;
--- a/src/coordination/election/leadership.hpp
+++ b/src/coordination/election/leadership.hpp
@@ -23,10 +23,10 @@
 
   /// Records that the leader has read all job changes stored up to `sent_at`, the time at which the
   /// call that returned them was sent. The leader may act only while this is recent.
-  virtual void confirm_view(Seconds sent_at) = 0;
+  virtual void confirm_job_view(Seconds sent_at) = 0;
 
   /// How long a job watch may block, so that its reply confirms the job view in time.
-  virtual Seconds view_interval() const = 0;
+  virtual Seconds job_view_interval() const = 0;
 
   /// How long after its last renewal a previous leader may still have answered heartbeats.
   virtual Seconds grace_period() const = 0;
@@ -42,8 +42,8 @@
 
   bool is_leader() const override { return election_.is_leader(); }
   std::uint64_t fencing_token() const override { return election_.fencing_token(); }
-  void confirm_view(Seconds sent_at) override { election_.confirm_view(sent_at); }
-  Seconds view_interval() const override { return election_.view_interval(); }
+  void confirm_job_view(Seconds sent_at) override { election_.confirm_job_view(sent_at); }
+  Seconds job_view_interval() const override { return election_.job_view_interval(); }
   Seconds grace_period() const override { return election_.grace_period(); }
   void resign(const std::string& reason) override { election_.resign(reason); }
 
--- a/src/coordination/leader/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -92,7 +92,7 @@
   job_watch_.set_recovered();
   placement_writer_.start();
   scheduling_loop_.start();
-  leadership_.confirm_view(state.jobs_requested_at);
+  leadership_.confirm_job_view(state.jobs_requested_at);
   cluster_.set_types(catalog_.types());
   ready_at_ = clock_.now();
   spdlog::info("state recovered: jobs={} placed_tasks={} duration_ms={:.0f}",
--- a/src/coordination/leader/leader.hpp
+++ b/src/coordination/leader/leader.hpp
@@ -62,8 +62,10 @@
   void update_machine_types();
   /// Whether the records are still being loaded, so that heartbeats are delayed briefly.
   bool loading() const { return loading_; }
-  /// See JobWatch::cancelled_by_peer.
-  bool cancelled_by_peer(const std::string& id) { return job_watch_.cancelled_by_peer(id); }
+  /// See JobWatch::apply_peer_cancellation.
+  bool apply_peer_cancellation(const std::string& id) {
+    return job_watch_.apply_peer_cancellation(id);
+  }
 
   /// Answers a heartbeat. Requires `Election::may_answer_heartbeats`. `relay`: the controller that
   /// relayed it, empty if the worker sent it directly.
--- a/src/coordination/recovery/job_watch.cpp
+++ b/src/coordination/recovery/job_watch.cpp
@@ -44,7 +44,7 @@
 
 void JobWatch::watch() {
   const Seconds requested_at = clock_.now();
-  store_.watch(storage::kJobPrefix, watched_revision_, leadership_.view_interval(),
+  store_.watch(storage::kJobPrefix, watched_revision_, leadership_.job_view_interval(),
                scope_.wrap([this, requested_at](const storage::WatchReply& reply) {
                  handle_watch_reply(requested_at, reply);
                }));
@@ -64,7 +64,7 @@
   }
   watched_revision_ = std::max(watched_revision_, reply.revision);
   std::erase_if(finished_, [this](const auto& entry) { return entry.second <= watched_revision_; });
-  leadership_.confirm_view(requested_at);
+  leadership_.confirm_job_view(requested_at);
   watch();
 }
 
@@ -104,7 +104,7 @@
   }
 }
 
-bool JobWatch::cancelled_by_peer(const std::string& id) {
+bool JobWatch::apply_peer_cancellation(const std::string& id) {
   Job* job = cluster_.job(id);
   if (job == nullptr) return false;
   if (job->cancelled) return true;
--- a/src/coordination/recovery/job_watch.hpp
+++ b/src/coordination/recovery/job_watch.hpp
@@ -56,7 +56,7 @@
   /// Applies a durable cancellation announced by the peer that wrote it. The watch delivers it too,
   /// but possibly late, and a leader whose requests the store rejects would not learn of it in
   /// time. Returns false if the job is unknown.
-  bool cancelled_by_peer(const std::string& id);
+  bool apply_peer_cancellation(const std::string& id);
 
  private:
   void watch();
--- a/tests/cloud_reconciler_test.cpp
+++ b/tests/cloud_reconciler_test.cpp
@@ -46,8 +46,8 @@
  public:
   bool is_leader() const override { return leading; }
   std::uint64_t fencing_token() const override { return 7; }
-  void confirm_view(Seconds /*sent_at*/) override {}
-  Seconds view_interval() const override { return 1; }
+  void confirm_job_view(Seconds /*sent_at*/) override {}
+  Seconds job_view_interval() const override { return 1; }
   Seconds grace_period() const override { return 0; }
   void resign(const std::string& /*reason*/) override {}
 
--- a/tests/job_watch_test.cpp
+++ b/tests/job_watch_test.cpp
@@ -40,8 +40,8 @@
  public:
   bool is_leader() const override { return true; }
   std::uint64_t fencing_token() const override { return 7; }
-  void confirm_view(Seconds) override {}
-  Seconds view_interval() const override { return 1; }
+  void confirm_job_view(Seconds) override {}
+  Seconds job_view_interval() const override { return 1; }
   Seconds grace_period() const override { return 0; }
   void resign(const std::string& reason) override { resign_reason = reason; }
 
@@ -123,10 +123,10 @@
 }
 
 TEST_F(JobWatchTest, RevertsAPeersCancellationThatTheRecordDoesNotContain) {
-  EXPECT_FALSE(watch_.cancelled_by_peer("job-1"));
+  EXPECT_FALSE(watch_.apply_peer_cancellation("job-1"));
   watch_.set_recovered();
   watch_.apply("job-1", record(), 5);
-  EXPECT_TRUE(watch_.cancelled_by_peer("job-1"));
+  EXPECT_TRUE(watch_.apply_peer_cancellation("job-1"));
   EXPECT_EQ(cancelled_, std::vector<std::string>{"job-1"});
   Job& job = *cluster_.job("job-1");
   EXPECT_TRUE(job.cancelled_by_peer);
--- a/tests/leader_lease_test.cpp
+++ b/tests/leader_lease_test.cpp
@@ -57,7 +57,7 @@
   const Settings settings = testing::settings();
   LeaderLease lease(settings, kGrantedAt);
   lease.renewed(kGrantedAt + GetParam().renewed_after);
-  lease.confirm_view(kGrantedAt + GetParam().view_confirmed_after);
+  lease.confirm_job_view(kGrantedAt + GetParam().view_confirmed_after);
   const Seconds now = kGrantedAt + GetParam().now_after;
   EXPECT_EQ(lease.allows_acting(now), GetParam().may_act);
   EXPECT_EQ(lease.allows_answering_heartbeats(now), GetParam().may_answer);
@@ -79,15 +79,15 @@
 TEST_F(LeaderLeaseTest, ViewIsOverdueAfterFourLeasesOfAnsweredRenewals) {
   lease.renewal_answered(kGrantedAt);
   EXPECT_FALSE(lease.is_view_overdue(kGrantedAt + 100));  // the records are still being loaded
-  lease.confirm_view(kGrantedAt + 1);
+  lease.confirm_job_view(kGrantedAt + 1);
   EXPECT_FALSE(lease.is_view_overdue(kGrantedAt + 1 + 4 * kLease));
   EXPECT_TRUE(lease.is_view_overdue(kGrantedAt + 1.1 + 4 * kLease));
-  lease.confirm_view(kGrantedAt + 2);
+  lease.confirm_job_view(kGrantedAt + 2);
   EXPECT_FALSE(lease.is_view_overdue(kGrantedAt + 1.1 + 4 * kLease));
 }
 
 TEST_F(LeaderLeaseTest, TimeOfAStoreOutageDoesNotCountTowardsAnOverdueView) {
-  lease.confirm_view(kGrantedAt);
+  lease.confirm_job_view(kGrantedAt);
   lease.renewal_answered(kGrantedAt);
   lease.renewal_failed();
   lease.renewal_answered(kGrantedAt + 60);
