--- a/src/coordination/leader/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -28,7 +28,8 @@
       command_dispatcher_(clock, client, cluster_, settings, command_dispatcher_callbacks()),
       machine_health_(clock, cluster_, settings, machine_health_callbacks()),
       failure_tracker_(clock, cluster_, settings),
-      task_evictor_(clock, cluster_, command_dispatcher_, settings, [this] { request_plan(); }),
+      task_evictor_(clock, cluster_, command_dispatcher_, settings,
+                    [this] { request_scheduling_cycle(); }),
       task_reconciler_(clock, cluster_, election, command_dispatcher_, failure_tracker_,
                        task_reconciler_callbacks()),
       heartbeat_processor_(clock, cluster_, election, settings, machine_health_, task_evictor_,
@@ -103,7 +104,7 @@
   run_scaling_loop();
   cloud_reconciler_.start(ready_at_);
   garbage_collector_.collect();
-  request_plan();
+  request_scheduling_cycle();
 }
 
 // Completes the cleanup of cancelled and finished jobs that a previous leader did not complete.
@@ -134,19 +135,21 @@
   if (!election_.is_leader()) return;
   machine_health_.expire_leases();
   machine_health_.check_unreachable();
-  relay_assignment_.rebalance(
-      cloud_reconciler_.has_listed() ? std::optional(cluster_.machines().size()) : std::nullopt,
-      now);
+  relay_assignment_.rebalance(cloud_reconciler_.has_complete_list()
+                                  ? std::optional(cluster_.machines().size())
+                                  : std::nullopt,
+                              now);
   for (const auto& [id, job] : cluster_.jobs()) {
     if (job->write_in_flight) continue;
     persist(*job);
     if (!job->write_in_flight) placement_writer_.shrink_shards(*job);
   }
   command_dispatcher_.raise_fencing_token_if_due();
-  if (!gang_reservations_.all().empty() || scheduling_loop_.is_unfinished()) request_plan();
+  if (!gang_reservations_.all().empty() || scheduling_loop_.is_unfinished())
+    request_scheduling_cycle();
   for (const auto& [id, job] : cluster_.jobs()) {
     if (job->waiting() > 0) {
-      request_plan();
+      request_scheduling_cycle();
       break;
     }
   }
@@ -158,7 +161,7 @@
   const HeartbeatProcessor::Counts processed = heartbeat_processor_.take_counts();
   activity_.heartbeats += processed.heartbeats;
   activity_.reported_tasks += processed.reported_tasks;
-  activity_.direct_calls += command_dispatcher_.take_sent_calls();
+  activity_.direct_command_calls += command_dispatcher_.take_sent_calls();
   log_fleet_usage(cluster_, activity_);
   cloud_reconciler_.run_scaling_round();
 }
--- a/src/coordination/leader/leader.hpp
+++ b/src/coordination/leader/leader.hpp
@@ -101,7 +101,7 @@
   MachineHealth::Callbacks machine_health_callbacks();
   TaskReconciler::Callbacks task_reconciler_callbacks();
   void persist(Job& job) { placement_writer_.persist(job); }
-  void request_plan() { scheduling_loop_.request_cycle(); }
+  void request_scheduling_cycle() { scheduling_loop_.request_cycle(); }
 
   // Recovery.
   void handle_recovered_state(RecoveredState state);
--- a/src/coordination/leader/leader_jobs.cpp
+++ b/src/coordination/leader/leader_jobs.cpp
@@ -35,7 +35,7 @@
   cluster_.unplace(job, task, clock_.now());
   if (gang_broken) abort_gang_attempt(job, reason);
   if (job.cancelled && job.is_finished()) persist(job);
-  request_plan();
+  request_scheduling_cycle();
 }
 
 void Leader::abort_gang_attempt(Job& job, const std::string& reason) {
--- a/src/coordination/leader/leader_wiring.cpp
+++ b/src/coordination/leader/leader_wiring.cpp
@@ -12,7 +12,7 @@
       [this](Job& job, const std::vector<std::uint32_t>& tasks) {
         command_dispatcher_.launch(job, tasks);
       },
-      [this] { request_plan(); },
+      [this] { request_scheduling_cycle(); },
   };
 }
 
@@ -20,7 +20,7 @@
   return {
       [this](Job& job) { cancel_job(job); },
       [this](Job& job) { persist(job); },
-      [this] { request_plan(); },
+      [this] { request_scheduling_cycle(); },
   };
 }
 
@@ -66,7 +66,7 @@
           },
       .machine_answered = [this](Machine& machine) { machine_health_.call_answered(machine); },
       .machine_unanswered = [this](Machine& machine) { machine_health_.call_unanswered(machine); },
-      .request_plan = [this] { request_plan(); },
+      .request_scheduling_cycle = [this] { request_scheduling_cycle(); },
   };
 }
 
@@ -81,7 +81,7 @@
           [this](const std::vector<std::string>& names) {
             cloud_reconciler_.release_machines(names);
           },
-      .request_plan = [this] { request_plan(); },
+      .request_scheduling_cycle = [this] { request_scheduling_cycle(); },
   };
 }
 
@@ -92,7 +92,7 @@
                           const std::string& reason) { handle_task_lost(job, task, reason); },
       .abort_gang_attempt = [this](Job& job,
                                    const std::string& reason) { abort_gang_attempt(job, reason); },
-      .request_plan = [this] { request_plan(); },
+      .request_scheduling_cycle = [this] { request_scheduling_cycle(); },
   };
 }
 
--- a/src/coordination/leader/scheduling_loop.cpp
+++ b/src/coordination/leader/scheduling_loop.cpp
@@ -64,8 +64,8 @@
   CycleLimits limits;
   limits.reservation_limit_s = settings_.operators.reservation_limit_s;
   limits.start_bound_s = settings_.operators.start_bound_s;
-  limits.start_at = resume_at_;
-  limits.defers_low = lag_.lag() > settings_.heartbeat_interval_s * kOverloadRatio;
+  limits.start_index = resume_at_;
+  limits.defer_low_priority = lag_.lag() > settings_.heartbeat_interval_s * kOverloadRatio;
   limits.out_of_time = [this, started_at] {
     return clock_.now() - started_at >
            settings_.heartbeat_interval_s * kPeriodicRatio * kCycleBudgetRatio;
@@ -78,15 +78,15 @@
   const Seconds started_at = clock_.now();
   const CycleLimits cycle_limits = limits(started_at);
   const Plan result = plan(cluster_, reservations_, started_at, cycle_limits);
-  resume_at_ = result.stopped_at;
+  resume_at_ = result.resume_index;
   for (const auto& assignment : result.assignments) {
     apply(assignment, cycle_limits.start_bound_s);
   }
   for (const auto& preemption : result.preemptions) apply(preemption);
-  for (const auto& migration : result.moves) apply(migration);
+  for (const auto& migration : result.migrations) apply(migration);
   const Seconds duration = clock_.now() - started_at;
-  ++activity_.planning_rounds;
-  activity_.planning_time += duration;
+  ++activity_.scheduling_cycles;
+  activity_.scheduling_time += duration;
   next_cycle_at_ = clock_.now() + duration * kPauseRatio;
   if (is_unfinished()) request_cycle();
 }
--- a/src/coordination/records/placement_writer.cpp
+++ b/src/coordination/records/placement_writer.cpp
@@ -194,7 +194,7 @@
   }
   if (!launches.empty() && leadership_.is_leader()) callbacks_.launch(job, launches);
   persist(job);
-  callbacks_.request_plan();
+  callbacks_.request_scheduling_cycle();
 }
 
 // Marks the placements that are still the ones that became durable, and returns their tasks. In the
@@ -304,7 +304,7 @@
   callbacks_.job_finished(id, revision);
   cluster_.remove_job(id);
   garbage_.collect();
-  callbacks_.request_plan();
+  callbacks_.request_scheduling_cycle();
 }
 
 // --------------------------------------------------------------------------- Shard shrinking
@@ -346,7 +346,7 @@
     job->revision = reply.revision;
   }
   persist(*job);
-  callbacks_.request_plan();
+  callbacks_.request_scheduling_cycle();
 }
 
 }  // namespace larkroad::coordination
--- a/src/coordination/records/placement_writer.hpp
+++ b/src/coordination/records/placement_writer.hpp
@@ -35,7 +35,7 @@
     /// The placements of these tasks are durable, and the tasks are to be launched.
     std::function<void(Job&, const std::vector<std::uint32_t>& tasks)> launch;
     /// Requests a scheduling cycle, as tasks may be waiting or capacity may have been freed.
-    std::function<void()> request_plan;
+    std::function<void()> request_scheduling_cycle;
   };
 
   PlacementWriter(transport::Clock& clock, storage::KeyValueClient& store, Leadership& leadership,
--- a/src/coordination/recovery/job_watch.cpp
+++ b/src/coordination/recovery/job_watch.cpp
@@ -100,7 +100,7 @@
   if (record.cancelled) {
     callbacks_.cancel_job(*job);
   } else {
-    callbacks_.request_plan();
+    callbacks_.request_scheduling_cycle();
   }
 }
 
@@ -143,7 +143,7 @@
     // The stored record is authoritative, and it does not contain the cancellation.
     job->cancelled = false;
     job->cancelled_by_peer = false;
-    callbacks_.request_plan();
+    callbacks_.request_scheduling_cycle();
   }
   callbacks_.persist(*job);
 }
--- a/src/coordination/recovery/job_watch.hpp
+++ b/src/coordination/recovery/job_watch.hpp
@@ -27,7 +27,7 @@
     std::function<void(Job&)> cancel_job;
     std::function<void(Job&)> persist;
     /// Requests a scheduling cycle, as it may find work.
-    std::function<void()> request_plan;
+    std::function<void()> request_scheduling_cycle;
   };
 
   JobWatch(transport::Clock& clock, storage::KeyValueClient& store, Leadership& leadership,
--- a/src/coordination/scaling/cloud_reconciler.cpp
+++ b/src/coordination/scaling/cloud_reconciler.cpp
@@ -84,7 +84,7 @@
   }
   const ScalingPlan plan = plan_scaling(cluster_, capacity_backoff_, pending_rentals_, started_at,
                                         settings_.operators.start_bound_s);
-  activity_.fleet_time += clock_.now() - started_at;
+  activity_.scaling_time += clock_.now() - started_at;
   for (const auto& request : plan.scale_out) request_machines(request.market, request.count);
   if (!plan.scale_in.empty()) release_machines(plan.scale_in);
 }
--- a/src/coordination/scaling/cloud_reconciler.hpp
+++ b/src/coordination/scaling/cloud_reconciler.hpp
@@ -62,7 +62,7 @@
   /// calls are retried.
   void release_machines(const std::vector<std::string>& names);
   /// Whether the machine list has been read completely in this term.
-  bool has_listed() const { return listed_once_; }
+  bool has_complete_list() const { return listed_once_; }
 
  private:
   void request_machines(const Market& market, int count);
--- a/src/coordination/scaling/fleet_usage.cpp
+++ b/src/coordination/scaling/fleet_usage.cpp
@@ -75,8 +75,8 @@
   spdlog::debug(
       "leader activity: scheduling_cycles={} scheduling_ms={:.1f} scaling_ms={:.1f} "
       "heartbeats={} reported_tasks={} command_calls={}",
-      activity.planning_rounds, activity.planning_time * 1e3, activity.fleet_time * 1e3,
-      activity.heartbeats, activity.reported_tasks, activity.direct_calls);
+      activity.scheduling_cycles, activity.scheduling_time * 1e3, activity.scaling_time * 1e3,
+      activity.heartbeats, activity.reported_tasks, activity.direct_command_calls);
   activity = {};
 }
 
--- a/src/coordination/scaling/fleet_usage.hpp
+++ b/src/coordination/scaling/fleet_usage.hpp
@@ -9,11 +9,11 @@
 
 /// Counters of the leader's work since they were last logged by `log_fleet_usage`.
 struct LeaderActivity {
-  int planning_rounds = 0;
-  Seconds planning_time = 0;  ///< spent in scheduling cycles
-  Seconds fleet_time = 0;     ///< spent in scaling rounds
+  int scheduling_cycles = 0;
+  Seconds scheduling_time = 0;  ///< spent in scheduling cycles
+  Seconds scaling_time = 0;     ///< spent in scaling rounds
   size_t heartbeats = 0;
-  size_t direct_calls = 0;  ///< command calls sent straight to workers
+  size_t direct_command_calls = 0;  ///< command calls sent straight to workers
   size_t reported_tasks = 0;
 };
 
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -38,9 +38,9 @@
       // new urgent jobs do not wait behind the rest. The other jobs resume where the previous cycle
       // ran out of time.
       const bool urgent = job.spec.priority <= protocol::Priority::high;
-      if (i < limits_.start_at && !urgent) continue;
-      if (i > limits_.start_at && !urgent && limits_.out_of_time()) {
-        plan_.stopped_at = i;
+      if (i < limits_.start_index && !urgent) continue;
+      if (i > limits_.start_index && !urgent && limits_.out_of_time()) {
+        plan_.resume_index = i;
         break;
       }
       if (!job.write_in_flight && now_ >= job.retry_at) schedule(job);
@@ -62,7 +62,7 @@
   void schedule(Job& job) {
     const Aging aging = aging_of(view_.cluster(), job, now_, limits_.start_bound_s);
     const bool low_priority = job.spec.priority == protocol::Priority::low;
-    if (limits_.defers_low && low_priority && aging == Aging::none) return;
+    if (limits_.defer_low_priority && low_priority && aging == Aging::none) return;
     const PlacementPolicy policy = policy_of(job, aging);
     const auto reserves_from =
         policy.ignores_reserves ? protocol::Priority::production : policy.priority;
@@ -200,7 +200,7 @@
         continue;
       }
       reserve(job, *choice.front().first, now_ + limits_.reservation_limit_s);
-      plan_.moves.push_back(migration);
+      plan_.migrations.push_back(migration);
     }
   }
 
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -34,19 +34,19 @@
   /// Whether the time budget of the cycle is used up; called before each job.
   std::function<bool()> out_of_time = [] { return false; };
   /// Set while the caller is overloaded: low-priority jobs are not placed unless they have aged.
-  bool defers_low = false;
+  bool defer_low_priority = false;
   /// The queue index at which the previous cycle ran out of time; 0: it did not.
-  size_t start_at = 0;
+  size_t start_index = 0;
 };
 
 /// The decisions of one cycle.
 struct Plan {
   std::vector<Assignment> assignments;
   std::vector<Preemption> preemptions;
-  std::vector<ReplicaMigration> moves;
+  std::vector<ReplicaMigration> migrations;
   /// The queue index from which the next cycle continues if this one ran out of time; 0: it did
   /// not.
-  size_t stopped_at = 0;
+  size_t resume_index = 0;
   /// The machines considered, summed over all jobs: a measure of the cycle's cost.
   size_t machines_considered = 0;
 };
--- a/src/coordination/workers/command_dispatcher.cpp
+++ b/src/coordination/workers/command_dispatcher.cpp
@@ -59,7 +59,7 @@
         machine->lease_expired) {
       // The incarnation ended while the placement record was written; no command was sent.
       cluster_.unplace(job, task, clock_.now());
-      callbacks_.request_plan();
+      callbacks_.request_scheduling_cycle();
       continue;
     }
     placement.stage = Placement::Stage::dispatched;
@@ -207,7 +207,8 @@
                    callbacks_.machine_answered(*answering);
                  }
                  // The resulting commands are sent in the response to the worker's next heartbeat.
-                 if (process_status_reply(machine_name, response.body)) callbacks_.request_plan();
+                 if (process_status_reply(machine_name, response.body))
+                   callbacks_.request_scheduling_cycle();
                }));
 }
 
--- a/src/coordination/workers/command_dispatcher.hpp
+++ b/src/coordination/workers/command_dispatcher.hpp
@@ -54,7 +54,7 @@
     /// Called when the worker on this machine has not answered a call with commands.
     std::function<void(Machine& machine)> machine_unanswered;
     /// Requests a scheduling cycle.
-    std::function<void()> request_plan;
+    std::function<void()> request_scheduling_cycle;
   };
 
   CommandDispatcher(transport::Clock& clock, transport::Client& client, ClusterState& cluster,
--- a/src/coordination/workers/machine_health.cpp
+++ b/src/coordination/workers/machine_health.cpp
@@ -86,7 +86,7 @@
   machine.identity_confirmed = true;
   if (machine.unreachable_since < 0) return;
   machine.unreachable_since = -1;
-  callbacks_.request_plan();
+  callbacks_.request_scheduling_cycle();
 }
 
 std::optional<Seconds> MachineHealth::newest_heartbeat_at() const {
--- a/src/coordination/workers/machine_health.hpp
+++ b/src/coordination/workers/machine_health.hpp
@@ -30,7 +30,7 @@
     /// Returns these machines to the cloud.
     std::function<void(const std::vector<std::string>& names)> release_machines;
     /// Requests a scheduling cycle.
-    std::function<void()> request_plan;
+    std::function<void()> request_scheduling_cycle;
   };
 
   MachineHealth(const transport::Clock& clock, ClusterState& cluster, const Settings& settings,
--- a/src/coordination/workers/task_evictor.cpp
+++ b/src/coordination/workers/task_evictor.cpp
@@ -8,12 +8,12 @@
 
 TaskEvictor::TaskEvictor(const transport::Clock& clock, ClusterState& cluster,
                          CommandDispatcher& dispatcher, const Settings& settings,
-                         std::function<void()> request_plan)
+                         std::function<void()> request_scheduling_cycle)
     : clock_(clock),
       cluster_(cluster),
       dispatcher_(dispatcher),
       settings_(settings),
-      request_plan_(std::move(request_plan)) {}
+      request_scheduling_cycle_(std::move(request_scheduling_cycle)) {}
 
 void TaskEvictor::stop(Job& job, Placement& placement, double grace_s) {
   if (placement.stopping && placement.grace_s <= grace_s) return;
@@ -55,7 +55,8 @@
       }
     }
   } else if (job.spec.is_service()) {
-    request_plan_();  // the scheduler first finds capacity for the replica on another machine
+    // The scheduler first finds capacity for the replica on another machine.
+    request_scheduling_cycle_();
   } else if (job.spec.checkpoint_s > 0 || placement.state != TaskState::running) {
     stop(job, placement, checkpoint_grace(job));
   }
--- a/src/coordination/workers/task_evictor.hpp
+++ b/src/coordination/workers/task_evictor.hpp
@@ -18,7 +18,7 @@
 class TaskEvictor {
  public:
   TaskEvictor(const transport::Clock& clock, ClusterState& cluster, CommandDispatcher& dispatcher,
-              const Settings& settings, std::function<void()> request_plan);
+              const Settings& settings, std::function<void()> request_scheduling_cycle);
 
   /// Stops a task. `grace_s`: how long it may take to save a checkpoint; 0: it must not save one. A
   /// task that is already stopping is sent another command only if that shortens its grace period.
@@ -36,7 +36,7 @@
   ClusterState& cluster_;
   CommandDispatcher& dispatcher_;
   const Settings& settings_;
-  std::function<void()> request_plan_;
+  std::function<void()> request_scheduling_cycle_;
 };
 
 }  // namespace larkroad::coordination
--- a/src/coordination/workers/task_reconciler.cpp
+++ b/src/coordination/workers/task_reconciler.cpp
@@ -194,7 +194,7 @@
   if (placement.running_since >= 0) cluster_.learn_run(job.spec, now - placement.running_since);
   cluster_.finish(job, task, now);
   callbacks_.persist(job);
-  callbacks_.request_plan();
+  callbacks_.request_scheduling_cycle();
 }
 
 void TaskReconciler::reconcile_absent_tasks(Machine& machine, const protocol::Heartbeat& heartbeat,
@@ -262,7 +262,7 @@
       // The record being written names an ended incarnation; no launch was sent, so the task is
       // placed again.
       cluster_.unplace(*job, id.task, clock_.now());
-      callbacks_.request_plan();
+      callbacks_.request_scheduling_cycle();
     } else {
       callbacks_.task_gone(
           *job, id.task,
--- a/src/coordination/workers/task_reconciler.hpp
+++ b/src/coordination/workers/task_reconciler.hpp
@@ -41,7 +41,7 @@
     /// Stops the other tasks of the gang.
     std::function<void(Job& job, const std::string& reason)> abort_gang_attempt;
     /// Requests a scheduling cycle.
-    std::function<void()> request_plan;
+    std::function<void()> request_scheduling_cycle;
   };
 
   TaskReconciler(const transport::Clock& clock, ClusterState& cluster, const Election& election,
--- a/tests/cloud_reconciler_test.cpp
+++ b/tests/cloud_reconciler_test.cpp
@@ -128,7 +128,7 @@
   reconciler_.run_scaling_round();
   EXPECT_TRUE(rentals().empty());
   answer_list({});
-  EXPECT_TRUE(reconciler_.has_listed());
+  EXPECT_TRUE(reconciler_.has_complete_list());
   reconciler_.run_scaling_round();
   EXPECT_TRUE(rentals().empty());
   clock_.run_for(settings_.heartbeat_interval_s * 1.5);
--- a/tests/command_dispatcher_test.cpp
+++ b/tests/command_dispatcher_test.cpp
@@ -62,7 +62,7 @@
             },
         .machine_answered = [this](Machine& machine) { answered.push_back(machine.name); },
         .machine_unanswered = [this](Machine& machine) { unanswered.push_back(machine.name); },
-        .request_plan = [this] { ++requested_plans; },
+        .request_scheduling_cycle = [this] { ++requested_cycles; },
     };
   }
 
@@ -98,7 +98,7 @@
   Commands follow_up;
   std::vector<std::string> answered;
   std::vector<std::string> unanswered;
-  int requested_plans = 0;
+  int requested_cycles = 0;
   CommandDispatcher dispatcher{clock, client, cluster, settings, callbacks()};
 };
 
@@ -155,7 +155,7 @@
   machine("m-2").incarnation = 2;
   dispatcher.launch(*job, {0, 1});
   EXPECT_TRUE(job->placements.empty());
-  EXPECT_EQ(requested_plans, 2);
+  EXPECT_EQ(requested_cycles, 2);
   clock.run_for(kBatchWait);
   EXPECT_TRUE(client.calls.empty());
 }
@@ -266,7 +266,7 @@
   client.calls[0].on_reply(Outcome::answered, {200, status(kToken), 0});
   EXPECT_EQ(answered, (std::vector<std::string>{"m-1"}));
   EXPECT_EQ(processed.size(), 1u);
-  EXPECT_EQ(requested_plans, 1);
+  EXPECT_EQ(requested_cycles, 1);
   clock.run_for(kBatchWait);
   EXPECT_EQ(client.calls.size(), 1u);
 }
@@ -280,7 +280,7 @@
     dispatcher.query_status(machine("m-1"));
     client.calls.at(0).on_reply(outcome, {http_status, body, 0});
     EXPECT_TRUE(processed.empty());
-    EXPECT_EQ(requested_plans, 0);
+    EXPECT_EQ(requested_cycles, 0);
     EXPECT_TRUE(unanswered.empty());
   }
 }
--- a/tests/job_watch_test.cpp
+++ b/tests/job_watch_test.cpp
@@ -60,7 +60,7 @@
                   cancelled_.push_back(job.id());
                 },
                 [this](Job& job) { persisted_.push_back(job.id()); },
-                [this] { ++requested_plans_; }}) {
+                [this] { ++requested_cycles_; }}) {
     watch_.begin_term();
   }
 
@@ -76,7 +76,7 @@
   RecordingLeadership leadership_;
   std::vector<std::string> cancelled_;
   std::vector<std::string> persisted_;
-  int requested_plans_ = 0;
+  int requested_cycles_ = 0;
   JobWatch watch_;
 };
 
@@ -85,13 +85,13 @@
   ASSERT_NE(cluster_.job("job-1"), nullptr);
   EXPECT_TRUE(cluster_.job("job-1")->cancelled);
   EXPECT_TRUE(cancelled_.empty());
-  EXPECT_EQ(requested_plans_, 0);
+  EXPECT_EQ(requested_cycles_, 0);
 }
 
 TEST_F(JobWatchTest, RequestsACycleForANewJobAndAppliesACancellation) {
   watch_.set_recovered();
   watch_.apply("job-1", record(), 5);
-  EXPECT_EQ(requested_plans_, 1);
+  EXPECT_EQ(requested_cycles_, 1);
   watch_.apply("job-1", record(true), 6);
   EXPECT_EQ(cancelled_, std::vector<std::string>{"job-1"});
   EXPECT_EQ(cluster_.job("job-1")->revision, 6u);
--- a/tests/machine_health_test.cpp
+++ b/tests/machine_health_test.cpp
@@ -25,7 +25,7 @@
             [this](const std::vector<std::string>& names) {
               released.insert(released.end(), names.begin(), names.end());
             },
-        .request_plan = [this] { ++requested_plans; },
+        .request_scheduling_cycle = [this] { ++requested_cycles; },
     };
   }
 
@@ -46,7 +46,7 @@
   std::vector<std::string> ended;
   std::vector<std::string> queried;
   std::vector<std::string> released;
-  int requested_plans = 0;
+  int requested_cycles = 0;
   MachineHealth health{clock, cluster, settings, callbacks()};
 };
 
@@ -86,11 +86,11 @@
   machine.identity_confirmed = false;
   health.call_answered(machine);
   EXPECT_TRUE(machine.identity_confirmed);
-  EXPECT_EQ(requested_plans, 0) << "requested although it was reachable before";
+  EXPECT_EQ(requested_cycles, 0) << "requested although it was reachable before";
   health.mark_unreachable(machine);
   health.call_answered(machine);
   EXPECT_LT(machine.unreachable_since, 0);
-  EXPECT_EQ(requested_plans, 1);
+  EXPECT_EQ(requested_cycles, 1);
 }
 
 TEST_F(MachineHealthTest, UnreachableMachineIsQueriedOncePerHeartbeatInterval) {
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -169,12 +169,12 @@
   int checks = 0;
   limits.out_of_time = [&] { return ++checks >= 2; };
   const Plan first = run_cycle();
-  EXPECT_EQ(first.stopped_at, 2u);
+  EXPECT_EQ(first.resume_index, 2u);
   EXPECT_EQ(first.assignments.size(), 2u);
-  limits.start_at = first.stopped_at;
+  limits.start_index = first.resume_index;
   limits.out_of_time = [] { return false; };
   const Plan second = run_cycle();
-  EXPECT_EQ(second.stopped_at, 0u);
+  EXPECT_EQ(second.resume_index, 0u);
   ASSERT_EQ(second.assignments.size(), 2u);
   EXPECT_EQ(second.assignments[0].job, "job-2");
 }
@@ -183,7 +183,7 @@
 // within the start bound.
 TEST_F(PlacementTest, DefersLowPriorityWorkWhileOverloaded) {
   limits.start_bound_s = 240;
-  limits.defers_low = true;
+  limits.defer_low_priority = true;
   testing::add_machine(cluster, "i-1", "large");
   auto low = testing::spec("job-1");
   low.priority = protocol::Priority::low;
@@ -192,7 +192,7 @@
   EXPECT_EQ(placed_tasks(run_cycle(10), "job-1"), 0u);
   EXPECT_EQ(placed_tasks(run_cycle(10), "job-2"), 1u);
   EXPECT_EQ(placed_tasks(run_cycle(190), "job-1"), 1u);
-  limits.defers_low = false;
+  limits.defer_low_priority = false;
   EXPECT_EQ(placed_tasks(run_cycle(10), "job-1"), 1u);
 }
 
--- a/tests/service_scheduling_test.cpp
+++ b/tests/service_scheduling_test.cpp
@@ -67,10 +67,10 @@
   run_cycle_and_place();
   mark_running(job, [](std::uint32_t) -> Seconds { return 50; });
   leaving.reclaimed_at = 110;
-  EXPECT_TRUE(run_cycle().moves.empty()) << "no machine to migrate to";
+  EXPECT_TRUE(run_cycle().migrations.empty()) << "no machine to migrate to";
   testing::add_machine(cluster, "i-2", "small");
   const Plan plan = run_cycle();
-  ASSERT_EQ(plan.moves.size(), 2u);
+  ASSERT_EQ(plan.migrations.size(), 2u);
   // Other jobs do not get the capacity in the meantime.
   auto& other = testing::add_job(cluster, testing::spec("job-2", 1, 2));
   other.spec.priority = protocol::Priority::high;
@@ -93,7 +93,7 @@
   leaving.reclaimed_at = 110;
   cluster.find_machine("i-2")->refused_until = 1000;  // no capacity in the other zone
   testing::add_machine(cluster, "i-3", "small", "east");
-  EXPECT_EQ(run_cycle().moves.size(), 1u);
+  EXPECT_EQ(run_cycle().migrations.size(), 1u);
 }
 
 // For services whose objectives leave no time to boot a machine, capacity is reserved for expected
--- a/tests/task_reconciler_test.cpp
+++ b/tests/task_reconciler_test.cpp
@@ -45,7 +45,7 @@
         .process_heartbeat = [](const protocol::Heartbeat&) { return Commands{}; },
         .machine_answered = [](Machine&) {},
         .machine_unanswered = [](Machine&) {},
-        .request_plan = [] {},
+        .request_scheduling_cycle = [] {},
     };
   }
   TaskReconciler::Callbacks callbacks() {
@@ -57,7 +57,7 @@
               cluster.unplace(of, task, clock.now());
             },
         .abort_gang_attempt = [](Job&, const std::string&) {},
-        .request_plan = [] {},
+        .request_scheduling_cycle = [] {},
     };
   }
 
