--- a/src/coordination/api/job_admission.cpp
+++ b/src/coordination/api/job_admission.cpp
@@ -30,7 +30,7 @@
   const bool all_at_once = spec.is_gang() || spec.is_service();
   const std::uint32_t concurrent_tasks = all_at_once ? spec.tasks : 1;
   const Resources limit{team->cpus_max, team->gpus_max, kNoLimit};
-  if (limit.times({spec.cpus, spec.gpus, 0}) < concurrent_tasks) {
+  if (limit.max_fitting({spec.cpus, spec.gpus, 0}) < concurrent_tasks) {
     return "the job needs more than its team's limit";
   }
   if (all_at_once && spec.spread && spec.tasks > 1 && zones.size() < 2) {
--- a/src/coordination/cluster_state/cluster_state.cpp
+++ b/src/coordination/cluster_state/cluster_state.cpp
@@ -231,8 +231,8 @@
   job.unpersisted_done.insert(task);
   // Completions of an unfinished job are batched so that one write records several. The state shown
   // to users may lag by up to 3 s; the last completion of a job is not delayed.
-  job.shards[job.shard_of(task)].write(now +
-                                       settings_.heartbeat_interval_s * kCompletionBatchRatio);
+  job.shards[job.shard_of(task)].schedule_write(now + settings_.heartbeat_interval_s *
+                                                          kCompletionBatchRatio);
   job.failures = 0;
   job.failed_machines.clear();
 }
--- a/src/coordination/cluster_state/cluster_state.hpp
+++ b/src/coordination/cluster_state/cluster_state.hpp
@@ -39,7 +39,7 @@
   void clear();
   /// Sets the offset of the wall clock from the steady clock (wall-clock time minus steady time),
   /// used to convert recorded wall-clock times.
-  void set_day_offset(double offset) { wall_clock_offset_ = offset; }
+  void set_wall_clock_offset(double offset) { wall_clock_offset_ = offset; }
 
   // Jobs.
 
--- a/src/coordination/cluster_state/job.cpp
+++ b/src/coordination/cluster_state/job.cpp
@@ -14,14 +14,14 @@
   return started_machines.size() > started_machines.count(machine);
 }
 
-void Job::note_start(const std::string& machine) {
+void Job::record_successful_start(const std::string& machine) {
   if (started_machines.size() < kMaxStartedMachines) started_machines.insert(machine);
 }
 
 bool Job::succeeds_elsewhere_than(const std::string& machine) const {
   if (!spec.is_service()) return done_count > 0;
   return std::any_of(placements.begin(), placements.end(), [&](const auto& entry) {
-    return entry.second.proven && entry.second.machine != machine;
+    return entry.second.ran_long_enough && entry.second.machine != machine;
   });
 }
 
--- a/src/coordination/cluster_state/job.hpp
+++ b/src/coordination/cluster_state/job.hpp
@@ -70,7 +70,7 @@
   /// Whether a task of the job started successfully on another machine.
   bool started_elsewhere_than(const std::string& machine) const;
   /// Records that a task of the job started successfully on the machine.
-  void note_start(const std::string& machine);
+  void record_successful_start(const std::string& machine);
   /// The priority used to select preemption victims. Without the raise, a job placed by priority
   /// aging would repeatedly be preempted by the jobs that it was placed ahead of.
   protocol::Priority effective_priority() const {
--- a/src/coordination/cluster_state/machine.cpp
+++ b/src/coordination/cluster_state/machine.cpp
@@ -4,7 +4,7 @@
 
 namespace larkroad::coordination {
 
-Resources Machine::room() const {
+Resources Machine::available() const {
   Resources out = capacity;
   out -= used;
   return out;
@@ -13,7 +13,7 @@
 bool Machine::usable(Seconds now, Seconds max_heartbeat_age) const {
   return now - last_worker_heartbeat_at <= max_heartbeat_age && has_reported &&
          identity_confirmed && unreachable_since < 0 && !lease_expired && !being_released &&
-         !quarantined && !reclaimed_at && now >= refused_until && !address.empty();
+         !quarantined && !reclaim_at && now >= refused_until && !address.empty();
 }
 
 void Machine::touch_image(const std::string& image, double gb, double cache_gb, Seconds now) {
--- a/src/coordination/cluster_state/machine.hpp
+++ b/src/coordination/cluster_state/machine.hpp
@@ -30,7 +30,7 @@
   /// Not 0: the launch was sent in the response to the heartbeat with this sequence number, which a
   /// relay may still be delivering. The worker's next heartbeat shows whether the response was
   /// executed or lost.
-  std::uint64_t answer_to = 0;
+  std::uint64_t response_to_sequence = 0;
 };
 
 /// Times are on the steady clock.
@@ -46,7 +46,7 @@
   bool identity_confirmed = false;
   /// Start of the period in which its heartbeats arrive but calls to it fail; -1: it is reachable.
   Seconds unreachable_since = -1;
-  Seconds inspected_at = -1;             ///< time of the last call to inspect its state; -1: never
+  Seconds status_queried_at = -1;        ///< when its status was last queried by a call; -1: never
   std::uint64_t incarnation = 0;         ///< highest known incarnation of its agent
   std::uint64_t sequence = 0;            ///< sequence number of its newest heartbeat
   std::uint64_t seen_fencing_token = 0;  ///< the highest fencing token that it has reported
@@ -62,10 +62,10 @@
   /// The latest time at which it is known to have existed: requested, sending heartbeats, or in an
   /// earlier leader's records. -1: none.
   Seconds known_to_exist_at = -1;
-  std::optional<Seconds> reclaimed_at;  ///< time of reclamation announced by the spot notice
-  bool lease_expired = false;           ///< its lease has expired; it must register again
-  Seconds lease_expired_at = -1;        ///< when the expiry was detected; -1: never
-  bool being_released = false;          ///< is being returned to the cloud
+  std::optional<Seconds> reclaim_at;  ///< time of reclamation announced by the spot notice
+  bool lease_expired = false;         ///< its lease has expired; it must register again
+  Seconds lease_expired_at = -1;      ///< when the expiry was detected; -1: never
+  bool being_released = false;        ///< is being returned to the cloud
   int retained_exits = 0;    ///< exited tasks in its last heartbeat that it must not discard yet
   bool quarantined = false;  ///< excluded from placement because all tasks fail on it
   /// Failures of tasks of jobs that are not faulty themselves, since a task last succeeded on it.
@@ -91,7 +91,7 @@
   protocol::Heartbeat last_relayed_heartbeat;  ///< the last complete heartbeat from a relay
 
   /// Capacity not occupied by placements.
-  Resources room() const;
+  Resources available() const;
   /// Whether tasks may be placed on it. `max_heartbeat_age`: the maximum age of its last heartbeat.
   bool usable(Seconds now, Seconds max_heartbeat_age) const;
   /// Records the use of an image of size `gb`, and evicts the least recently used images as the
--- a/src/coordination/cluster_state/placement.hpp
+++ b/src/coordination/cluster_state/placement.hpp
@@ -40,13 +40,13 @@
   Seconds placed_at = 0;
   Seconds running_since = -1;  ///< when it was first reported as running; -1: not yet
   /// A replica of a service that has run long enough to count as a success.
-  bool proven = false;
+  bool ran_long_enough = false;
 };
 
 /// Restart back-off of one replica of a service.
 struct ReplicaRestarts {
-  int ends = 0;          ///< consecutive times that the replica exited by itself
-  Seconds retry_at = 0;  ///< earliest time of the next placement
+  int consecutive_exits = 0;  ///< of the replica by itself
+  Seconds retry_at = 0;       ///< earliest time of the next placement
 };
 
 /// The leader's state of one stored placement record. A shard is a range of a job's tasks whose
@@ -57,7 +57,7 @@
   bool dirty = false;          ///< the stored record is out of date and must be written
   Seconds write_at = 0;        ///< when dirty: the earliest time of the write
   /// Schedules a write of the record at `when`, or earlier if one is already scheduled.
-  void write(Seconds when) {
+  void schedule_write(Seconds when) {
     write_at = dirty ? std::min(write_at, when) : when;
     dirty = true;
   }
--- a/src/coordination/cluster_state/resources.cpp
+++ b/src/coordination/cluster_state/resources.cpp
@@ -30,7 +30,7 @@
          need.memory_gb <= memory_gb + kTolerance;
 }
 
-std::uint32_t Resources::times(const Resources& need) const {
+std::uint32_t Resources::max_fitting(const Resources& need) const {
   double count = protocol::kMaxTasksPerJob;
   const auto limit_by = [&count](double available, double each) {
     if (each > 0) count = std::min(count, std::floor((available + kTolerance) / each));
@@ -41,7 +41,7 @@
   return count <= 0 ? 0 : static_cast<std::uint32_t>(count);
 }
 
-Resources least_of(const Resources& a, const Resources& b) {
+Resources component_min(const Resources& a, const Resources& b) {
   return {std::min(a.cpus, b.cpus), std::min(a.gpus, b.gpus), std::min(a.memory_gb, b.memory_gb)};
 }
 
--- a/src/coordination/cluster_state/resources.hpp
+++ b/src/coordination/cluster_state/resources.hpp
@@ -28,16 +28,16 @@
   /// Whether `need` fits into these amounts, with a tolerance for rounding errors.
   bool fits(const Resources& need) const;
   /// How many times `need` fits into these amounts; at most `protocol::kMaxTasksPerJob`.
-  std::uint32_t times(const Resources& need) const;
+  std::uint32_t max_fitting(const Resources& need) const;
 };
 
 /// The component-wise minimum.
-Resources least_of(const Resources& a, const Resources& b);
+Resources component_min(const Resources& a, const Resources& b);
 
 /// The number of job priorities.
-inline constexpr size_t kPriorities = static_cast<size_t>(protocol::Priority::low) + 1;
+inline constexpr size_t kPriorityCount = static_cast<size_t>(protocol::Priority::low) + 1;
 /// Amounts by priority, highest priority first.
-using ResourcesByPriority = std::array<Resources, kPriorities>;
+using ResourcesByPriority = std::array<Resources, kPriorityCount>;
 
 /// The resources that one task of the job requests.
 Resources needs_of(const JobSpec& spec);
--- a/src/coordination/leader/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -55,7 +55,7 @@
   term_started_at_ = clock_.now();
   heartbeat_processor_.begin_term();
   cluster_.clear();
-  cluster_.set_day_offset(clock_.unix_time() - clock_.now());
+  cluster_.set_wall_clock_offset(clock_.unix_time() - clock_.now());
   gang_reservations_.clear();
   job_watch_.begin_term();
   placement_writer_.begin_term();
--- a/src/coordination/leader/scheduling_loop.cpp
+++ b/src/coordination/leader/scheduling_loop.cpp
@@ -119,7 +119,7 @@
     cluster_.unplace(job, task, now);
     return;
   }
-  job.shards[number].write(now);
+  job.shards[number].schedule_write(now);
 }
 
 void SchedulingLoop::apply(const Preemption& preemption) {
--- a/src/coordination/scaling/autoscaler.cpp
+++ b/src/coordination/scaling/autoscaler.cpp
@@ -123,10 +123,10 @@
     for (const auto& [name, machine] : cluster_.machines()) {
       const MachineType* type = cluster_.type(machine.type);
       if (type == nullptr || machine.being_released) continue;
-      if (machine.reclaimed_at || machine.quarantined) continue;
+      if (machine.reclaim_at || machine.quarantined) continue;
       if (is_lost(machine, *type, now_) || boot_timed_out(machine, *type, now_)) continue;
-      hosts_.push_back(
-          {type, machine.zone, machine.spot, machine.room(), &machine, !machine.tasks.empty()});
+      hosts_.push_back({type, machine.zone, machine.spot, machine.available(), &machine,
+                        !machine.tasks.empty()});
     }
     // Machines in use are filled first, so that idle ones can be released; then the cheapest.
     std::stable_sort(hosts_.begin(), hosts_.end(),
@@ -166,7 +166,7 @@
     smallest_need_ = smallest_waiting_need(cluster_);
     for (const Forecast& expected : forecasts) {
       const Resources need = needs_of(*expected.spec);
-      smallest_need_ = smallest_need_ ? least_of(*smallest_need_, need) : need;
+      smallest_need_ = smallest_need_ ? component_min(*smallest_need_, need) : need;
     }
     for (PlannedMachine& host : hosts_) {
       host.full = !smallest_need_ || !host.free.fits(*smallest_need_);
@@ -259,7 +259,7 @@
     for (const PlannedMachine& host : hosts_) {
       if (host.full || host.zone != zone) continue;
       if (allows(job.spec, *host.type, zone, host.spot)) {
-        tasks += host.free.times(needs_of(job.spec));
+        tasks += host.free.max_fitting(needs_of(job.spec));
       }
     }
     return tasks;
@@ -286,7 +286,7 @@
 
   void assign_tasks(PlannedMachine& host, Demand& demand) {
     const std::uint32_t tasks =
-        std::min({demand.count, host.free.times(demand.need), demand.zones.left(host.zone)});
+        std::min({demand.count, host.free.max_fitting(demand.need), demand.zones.left(host.zone)});
     for (std::uint32_t i = 0; i < tasks; ++i) {
       host.free -= demand.need;
       planned_use_[demand.spec.team] += demand.need;
@@ -306,7 +306,8 @@
       const auto& [type, market, requested] = option;
       if (requested >= protocol::kMaxRentalCount || demand.zones.left(market.zone) == 0) continue;
       if (!allows(demand.spec, *type, market.zone, market.spot)) continue;
-      const double fits = std::min<double>(demand.count, capacity_of(*type).times(demand.need));
+      const double fits =
+          std::min<double>(demand.count, capacity_of(*type).max_fitting(demand.need));
       const double price = hourly_price(*type, market.spot) / fits;
       if (cheapest == nullptr || price < lowest_price) {
         cheapest = &option;
--- a/src/coordination/scheduling/cycle_view.cpp
+++ b/src/coordination/scheduling/cycle_view.cpp
@@ -46,7 +46,7 @@
     if (type == nullptr || !machine.usable(now_, max_heartbeat_age)) continue;
     const auto [at, added] = pool_of.try_emplace({type, machine.zone, machine.spot}, pools_.size());
     if (added) pools_.push_back({type, machine.zone, machine.spot, {}, {}});
-    machines_.push_back({&machine, at->second, machine.room(), {}, {}});
+    machines_.push_back({&machine, at->second, machine.available(), {}, {}});
   }
 }
 
@@ -78,8 +78,8 @@
     double fits_when_empty = 0;
     for (const MachineView& view : machines_) {
       if (!reserve.allowed[view.pool]) continue;
-      reserve.fits += view.available.times(need);
-      fits_when_empty += view.machine->capacity.times(need);
+      reserve.fits += view.available.max_fitting(need);
+      fits_when_empty += view.machine->capacity.max_fitting(need);
     }
     // Lower-priority jobs keep a share of the machines however much is expected to arrive.
     reserve.missing = std::min(reserve.missing, fits_when_empty * kMaxReserveRatio);
@@ -174,7 +174,7 @@
   for (const GpuNeed& gpu : gpu_needs_) {
     if (!gpu.allowed[view.pool]) continue;
     const double blocked =
-        static_cast<double>(view.available.times(gpu.need)) - rest.times(gpu.need);
+        static_cast<double>(view.available.max_fitting(gpu.need)) - rest.max_fitting(gpu.need);
     out = std::max(out, blocked * gpu.need.gpus / capacity.gpus);
   }
   return out;
@@ -204,7 +204,7 @@
   const Resources need = needs_of(*reserve.spec);
   Resources rest = view.available;
   rest -= needs_of(job.spec);
-  return static_cast<double>(view.available.times(need)) - rest.times(need);
+  return static_cast<double>(view.available.max_fitting(need)) - rest.max_fitting(need);
 }
 
 }  // namespace larkroad::coordination
--- a/src/coordination/scheduling/fleet_capacity.cpp
+++ b/src/coordination/scheduling/fleet_capacity.cpp
@@ -24,7 +24,7 @@
     Pool& pool = pools_[at->second];
     pool.machines += 1;
     pool.capacity += machine.capacity;
-    for (size_t priority = 0; priority < kPriorities; ++priority) {
+    for (size_t priority = 0; priority < kPriorityCount; ++priority) {
       pool.used[priority] += machine.used_by_priority[priority];
     }
   }
@@ -38,13 +38,13 @@
   double left = 0;
   for (const Pool& pool : pools_) {
     if (!allows(spec, *pool.type, pool.zone, pool.spot)) continue;
-    const double when_empty = pool.machines * capacity_of(*pool.type).times(need);
+    const double when_empty = pool.machines * capacity_of(*pool.type).max_fitting(need);
     Resources available = pool.capacity;
     for (size_t priority = 0; priority < static_cast<size_t>(spec.priority); ++priority) {
       available -= pool.used[priority];
     }
     all += when_empty;
-    left += std::min<double>(when_empty, available.times(need));
+    left += std::min<double>(when_empty, available.max_fitting(need));
   }
   return std::max(left, all * kMinShareLeft);
 }
--- a/src/coordination/scheduling/job_queue.cpp
+++ b/src/coordination/scheduling/job_queue.cpp
@@ -109,7 +109,7 @@
       const Seconds remaining = times.occupied * static_cast<double>(step) / kRemainingSteps;
       shared_[job.spec.priority].fleet.add(fleet_share * tasks, remaining, times.occupied);
       // A task counts against its team's limit for its own priority and all lower ones.
-      for (auto priority = static_cast<size_t>(job.spec.priority); priority < kPriorities;
+      for (auto priority = static_cast<size_t>(job.spec.priority); priority < kPriorityCount;
            ++priority) {
         CapacityTimeline& quota =
             shared_[static_cast<protocol::Priority>(priority)].quotas[job.spec.team];
@@ -174,7 +174,7 @@
   std::optional<Resources> out;
   const auto include = [&out](const JobSpec& spec) {
     const Resources need = needs_of(spec);
-    out = out ? least_of(*out, need) : need;
+    out = out ? component_min(*out, need) : need;
   };
   for (const auto& [id, job] : cluster.jobs()) {
     if (job->waiting() > 0) include(job->spec);
--- a/src/coordination/scheduling/preemption_search.cpp
+++ b/src/coordination/scheduling/preemption_search.cpp
@@ -130,7 +130,7 @@
   const MachineCandidates* on_machine = candidates_.on(machine);
   if (on_machine == nullptr) return false;
   const auto own = static_cast<size_t>(job_.spec.priority);
-  for (size_t priority = own + 1; priority < kPriorities; ++priority) {
+  for (size_t priority = own + 1; priority < kPriorityCount; ++priority) {
     available += on_machine->by_priority[priority];
   }
   if (rights_.by_guarantee) available += on_machine->without_guarantee[own];
--- a/src/coordination/scheduling/quota.cpp
+++ b/src/coordination/scheduling/quota.cpp
@@ -50,7 +50,7 @@
 }
 
 std::uint32_t tasks_within(const Resources& quota, const JobSpec& spec) {
-  return quota.times({spec.cpus, spec.gpus, 0});
+  return quota.max_fitting({spec.cpus, spec.gpus, 0});
 }
 
 }  // namespace larkroad::coordination
--- a/src/coordination/scheduling/replica_migration.cpp
+++ b/src/coordination/scheduling/replica_migration.cpp
@@ -16,7 +16,7 @@
 std::vector<ReplicaMigration> replicas_to_migrate(const ClusterState& cluster) {
   std::vector<ReplicaMigration> out;
   for (const auto& [name, machine] : cluster.machines()) {
-    if (!machine.reclaimed_at && !machine.quarantined) continue;
+    if (!machine.reclaim_at && !machine.quarantined) continue;
     for (const TaskId& id : machine.tasks) {
       if (must_migrate(cluster, id)) out.push_back({id.job, id.task, name});
     }
--- a/src/coordination/workers/command_dispatcher.cpp
+++ b/src/coordination/workers/command_dispatcher.cpp
@@ -198,7 +198,7 @@
 }
 
 void CommandDispatcher::query_status(Machine& machine) {
-  machine.inspected_at = clock_.now();
+  machine.status_queried_at = clock_.now();
   client_.call(machine.address, {"GET", protocol::kInspectPath, ""}, settings_.heartbeat_interval_s,
                scope_.wrap([this, machine_name = machine.name](
                                Outcome outcome, const transport::Response& response) {
--- a/src/coordination/workers/failure_tracker.cpp
+++ b/src/coordination/workers/failure_tracker.cpp
@@ -34,7 +34,7 @@
     : clock_(clock), cluster_(cluster), settings_(settings) {}
 
 void FailureTracker::record_start(Machine& machine, Job& job) {
-  job.note_start(machine.name);
+  job.record_successful_start(machine.name);
   machine.failed_starts = 0;
 }
 
@@ -55,7 +55,8 @@
   }
   if (job.spec.is_service()) {
     // A replica that fails repeatedly is itself faulty, even if others of its job run.
-    if (job.restarts[placement.task].ends < kReplicaExitsAsEvidence) record_evidence(machine, job);
+    if (job.restarts[placement.task].consecutive_exits < kReplicaExitsAsEvidence)
+      record_evidence(machine, job);
     record_replica_exit(job, placement);
   } else {
     record_evidence(machine, job);
@@ -103,8 +104,9 @@
 
 void FailureTracker::record_running_replica(Machine& machine, Job& job, Placement& replica) {
   const Seconds run_time = clock_.now() - replica.running_since;
-  if (replica.proven || run_time < settings_.heartbeat_interval_s * kHealthyRunIntervals) return;
-  replica.proven = true;
+  if (replica.ran_long_enough || run_time < settings_.heartbeat_interval_s * kHealthyRunIntervals)
+    return;
+  replica.ran_long_enough = true;
   job.restarts.erase(replica.task);
   job.failures = 0;
   job.failed_machines.clear();
@@ -113,8 +115,9 @@
 
 void FailureTracker::record_replica_exit(Job& job, const Placement& replica) {
   ReplicaRestarts& restarts = job.restarts[replica.task];
-  if (restarts.ends > 0) restarts.retry_at = clock_.now() + backoff_after(restarts.ends - 1);
-  ++restarts.ends;
+  if (restarts.consecutive_exits > 0)
+    restarts.retry_at = clock_.now() + backoff_after(restarts.consecutive_exits - 1);
+  ++restarts.consecutive_exits;
 }
 
 void FailureTracker::back_off(Job& job) {
--- a/src/coordination/workers/heartbeat_processor.cpp
+++ b/src/coordination/workers/heartbeat_processor.cpp
@@ -122,8 +122,9 @@
                 [&](const auto& entry) { return entry.second < machine.seen_fencing_token; });
   std::erase_if(machine.unresolved_launches, [&](const auto& entry) {
     const UnresolvedLaunch& launch = entry.second;
-    const bool response_processed = launch.answer_to != 0 && source == HeartbeatSource::worker &&
-                                    launch.answer_to < heartbeat.sequence;
+    const bool response_processed = launch.response_to_sequence != 0 &&
+                                    source == HeartbeatSource::worker &&
+                                    launch.response_to_sequence < heartbeat.sequence;
     return launch.fencing_token < machine.seen_fencing_token || response_processed;
   });
 }
@@ -131,8 +132,8 @@
 void HeartbeatProcessor::update_reclaim_notice(Machine& machine,
                                                const protocol::Heartbeat& heartbeat) {
   if (!heartbeat.reclaim_notice_s) {
-    machine.reclaimed_at.reset();
-  } else if (!machine.reclaimed_at) {
+    machine.reclaim_at.reset();
+  } else if (!machine.reclaim_at) {
     evictor_.drain(machine, *heartbeat.reclaim_notice_s);
   }
 }
--- a/src/coordination/workers/machine_health.cpp
+++ b/src/coordination/workers/machine_health.cpp
@@ -61,7 +61,7 @@
     // After a lease duration without an answer, the worker's lease has expired too and it runs no
     // tasks.
     if (now - machine.unreachable_since > settings_.lease_s) to_release.push_back(name);
-    if (now - machine.inspected_at > settings_.heartbeat_interval_s) {
+    if (now - machine.status_queried_at > settings_.heartbeat_interval_s) {
       callbacks_.query_status(machine);
     }
   }
--- a/src/coordination/workers/task_evictor.cpp
+++ b/src/coordination/workers/task_evictor.cpp
@@ -33,7 +33,7 @@
 }
 
 void TaskEvictor::drain(Machine& machine, double reclaim_notice_s) {
-  machine.reclaimed_at = clock_.now() + reclaim_notice_s;
+  machine.reclaim_at = clock_.now() + reclaim_notice_s;
   spdlog::info("machine will be reclaimed: machine={} notice_s={:.1f}", machine.name,
                reclaim_notice_s);
   const auto tasks = machine.tasks;  // a copy, as the loop may modify the set
--- a/src/coordination/workers/task_reconciler.cpp
+++ b/src/coordination/workers/task_reconciler.cpp
@@ -124,7 +124,7 @@
   // After `forget`, a launch that is still in transit would run the task again.
   const auto launch = machine.unresolved_launches.find({task.id, task.attempt});
   if (launch != machine.unresolved_launches.end()) {
-    if (launch->second.answer_to == 0) dispatcher_.require_fencing_of(launch->second);
+    if (launch->second.response_to_sequence == 0) dispatcher_.require_fencing_of(launch->second);
     return;
   }
   if (is_result_durable(task) && can_forget(machine, task)) {
--- a/tests/command_dispatcher_test.cpp
+++ b/tests/command_dispatcher_test.cpp
@@ -260,7 +260,7 @@
 TEST_F(CommandDispatcherTest, StatusQueryReplyIsProcessedWithoutSendingCommands) {
   follow_up = {kill_command(0)};
   dispatcher.query_status(machine("m-1"));
-  EXPECT_EQ(machine("m-1").inspected_at, clock.now());
+  EXPECT_EQ(machine("m-1").status_queried_at, clock.now());
   ASSERT_EQ(client.calls.size(), 1u);
   EXPECT_EQ(client.calls[0].request.target, protocol::kInspectPath);
   client.calls[0].on_reply(Outcome::answered, {200, status(kToken), 0});
--- a/tests/failure_tracker_test.cpp
+++ b/tests/failure_tracker_test.cpp
@@ -135,11 +135,11 @@
   failures.record_failure(machine, job, replica);
   clock.run_for(intervals(4) - 0.01);
   failures.record_running_replica(machine, job, replica);
-  EXPECT_FALSE(replica.proven);
+  EXPECT_FALSE(replica.ran_long_enough);
   EXPECT_EQ(machine.failures, 1);
   clock.run_for(0.02);
   failures.record_running_replica(machine, job, replica);
-  EXPECT_TRUE(replica.proven);
+  EXPECT_TRUE(replica.ran_long_enough);
   EXPECT_TRUE(job.restarts.empty());
   EXPECT_EQ(machine.failures, 0);
 }
--- a/tests/machine_health_test.cpp
+++ b/tests/machine_health_test.cpp
@@ -18,7 +18,7 @@
         .end_incarnation = [this](Machine& machine) { ended.push_back(machine.name); },
         .query_status =
             [this](Machine& machine) {
-              machine.inspected_at = clock.now();
+              machine.status_queried_at = clock.now();
               queried.push_back(machine.name);
             },
         .release_machines =
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -99,7 +99,7 @@
       {"has sent no heartbeat yet", [](Machine& machine) { machine.has_reported = false; }},
       {"lease expired", [](Machine& machine) { machine.lease_expired = true; }},
       {"being released", [](Machine& machine) { machine.being_released = true; }},
-      {"to be reclaimed", [](Machine& machine) { machine.reclaimed_at = 105; }},
+      {"to be reclaimed", [](Machine& machine) { machine.reclaim_at = 105; }},
       {"fails every task", [](Machine& machine) { machine.quarantined = true; }},
       {"refused a launch", [](Machine& machine) { machine.refused_until = 101; }},
       // It answers calls, but has sent no heartbeat for more than half its lease of 12 s.
--- a/tests/service_scheduling_test.cpp
+++ b/tests/service_scheduling_test.cpp
@@ -66,7 +66,7 @@
   auto& job = testing::add_job(cluster, testing::service("job-1", 2, 2));
   run_cycle_and_place();
   mark_running(job, [](std::uint32_t) -> Seconds { return 50; });
-  leaving.reclaimed_at = 110;
+  leaving.reclaim_at = 110;
   EXPECT_TRUE(run_cycle().migrations.empty()) << "no machine to migrate to";
   testing::add_machine(cluster, "i-2", "small");
   const Plan plan = run_cycle();
@@ -90,7 +90,7 @@
   run_cycle_and_place();
   ASSERT_EQ(job.placements.size(), 2u);
   mark_running(job, [](std::uint32_t) -> Seconds { return 50; });
-  leaving.reclaimed_at = 110;
+  leaving.reclaim_at = 110;
   cluster.find_machine("i-2")->refused_until = 1000;  // no capacity in the other zone
   testing::add_machine(cluster, "i-3", "small", "east");
   EXPECT_EQ(run_cycle().migrations.size(), 1u);
--- a/tests/sim/fake_worker.cpp
+++ b/tests/sim/fake_worker.cpp
@@ -77,7 +77,7 @@
   Json out{{"perch", name},       {"address", address},      {"breed", type},
            {"yard", zone},        {"loaners", spot},         {"flight", incarnation_},
            {"tick", ++sequence_}, {"baton", fencing_token_}, {"legs", tasks}};
-  out["recallS"] = reclaimed_at_ ? Json(*reclaimed_at_ - world_.events.now()) : Json(nullptr);
+  out["recallS"] = reclaim_at_ ? Json(*reclaim_at_ - world_.events.now()) : Json(nullptr);
   return out;
 }
 
@@ -375,9 +375,9 @@
 }
 
 void FakeWorker::reclaim_in(Seconds notice) {
-  reclaimed_at_ = world_.events.now() + notice;
+  reclaim_at_ = world_.events.now() + notice;
   report_change();
-  world_.events.schedule_at(*reclaimed_at_, [this] { terminate(); });
+  world_.events.schedule_at(*reclaim_at_, [this] { terminate(); });
 }
 
 }  // namespace larkroad::sim
--- a/tests/sim/fake_worker.hpp
+++ b/tests/sim/fake_worker.hpp
@@ -66,7 +66,7 @@
   /// Whether a task of the job is on this machine and has not exited.
   bool has_live_task(const std::string& job) const;
   /// Whether new tasks should not be placed here: tasks fail at start, or a reclaim is announced.
-  bool is_unusable() const { return faulty_ || reclaimed_at_; }
+  bool is_unusable() const { return faulty_ || reclaim_at_; }
   const std::map<Key, Task>& tasks() const { return tasks_; }
 
   const std::string name, address, type, zone;
@@ -110,7 +110,7 @@
   /// Send time of the latest heartbeat that has been answered.
   Seconds lease_renewed_at_ = 0;
   std::optional<Seconds> last_heartbeat_at_;
-  std::optional<Seconds> reclaimed_at_;
+  std::optional<Seconds> reclaim_at_;
   EventQueue::EventId next_heartbeat_ = 0;
   bool heartbeat_in_flight_ = false;
   bool changed_since_heartbeat_ = false;
--- a/tests/sim/waiting_job_monitor.cpp
+++ b/tests/sim/waiting_job_monitor.cpp
@@ -71,7 +71,7 @@
     for (const auto& type : types) {
       if (type.name != worker->type) continue;
       if (!coordination::allows(spec, type, worker->zone, worker->spot)) continue;
-      slots[worker->zone] += free_capacity(*worker, type).times(need);
+      slots[worker->zone] += free_capacity(*worker, type).max_fitting(need);
     }
   }
   return slots;
--- a/tests/task_reconciler_test.cpp
+++ b/tests/task_reconciler_test.cpp
@@ -132,7 +132,7 @@
   EXPECT_TRUE(reconcile({}, HeartbeatSource::call_answer).empty());
   EXPECT_EQ(types_of(reconcile({})), (std::vector{CommandType::launch}));
   EXPECT_EQ(placement->stage, Placement::Stage::dispatched);
-  EXPECT_EQ(machine->unresolved_launches.at(key).answer_to, 3u);
+  EXPECT_EQ(machine->unresolved_launches.at(key).response_to_sequence, 3u);
   EXPECT_TRUE(reconcile({}).empty()) << "launched again while the launch is unresolved";
 }
 
