--- a/src/coordination/api/job_admission.cpp
+++ b/src/coordination/api/job_admission.cpp
@@ -21,8 +21,9 @@
 
 }  // namespace
 
-std::optional<std::string> never_runnable(const protocol::JobSpec& spec, const Settings& settings,
-                                          const std::vector<protocol::MachineType>& types) {
+std::optional<std::string> unschedulable_reason(const protocol::JobSpec& spec,
+                                                const Settings& settings,
+                                                const std::vector<protocol::MachineType>& types) {
   const TeamSettings* team = settings.team(spec.team);
   if (team == nullptr) return "unknown team";
   const std::set<std::string> zones = allowed_zones(spec, types);
--- a/src/coordination/api/job_admission.hpp
+++ b/src/coordination/api/job_admission.hpp
@@ -12,8 +12,9 @@
 namespace larkroad::coordination {
 
 /// Returns why a job could not run on any fleet of these machine types, or nullopt if it could.
-std::optional<std::string> never_runnable(const protocol::JobSpec& spec, const Settings& settings,
-                                          const std::vector<protocol::MachineType>& types);
+std::optional<std::string> unschedulable_reason(const protocol::JobSpec& spec,
+                                                const Settings& settings,
+                                                const std::vector<protocol::MachineType>& types);
 
 /// Removes nonexistent machine types from the list of allowed types of a job: they match no machine
 /// and would only enlarge the job's record.
--- a/src/coordination/api/job_cancellation.cpp
+++ b/src/coordination/api/job_cancellation.cpp
@@ -47,7 +47,7 @@
                                    transport::Seconds deadline, Respond respond) {
   storage::JobRecord record = job.record;
   record.cancelled = true;
-  const double value_bytes = settings_.lasting_store_limits().value_bytes();
+  const double value_bytes = settings_.strictest_store_limits().value_bytes();
   storage::Transaction transaction;
   transaction.preconditions.push_back({storage::job_key(id), job.revision});
   transaction.writes.push_back(
--- a/src/coordination/api/job_lookup.cpp
+++ b/src/coordination/api/job_lookup.cpp
@@ -44,7 +44,7 @@
 std::optional<JobLookupResult> JobLookup::find_without_store_read(const std::string& id) {
   if (auto finished = find_finished(id)) return finished;
   if (!protocol::valid_job_id(id)) return result_without_job(Status::missing);
-  if (!store_.worth_trying()) return result_without_job(Status::unavailable);
+  if (!store_.allow_request()) return result_without_job(Status::unavailable);
   return std::nullopt;
 }
 
--- a/src/coordination/api/job_submission.cpp
+++ b/src/coordination/api/job_submission.cpp
@@ -74,7 +74,7 @@
     return;
   }
   protocol::JobSpec& spec = *parsed.spec;
-  if (const auto reason = never_runnable(spec, settings_, catalog_.types())) {
+  if (const auto reason = unschedulable_reason(spec, settings_, catalog_.types())) {
     reject(spec.id, error_response(http_status::kUnprocessableEntity, *reason), std::move(respond));
     return;
   }
@@ -117,14 +117,14 @@
     respond(state_response(http_status::kOk, spec.id, finished->state));
     return;
   }
-  if (!store_.worth_trying()) {
+  if (!store_.allow_request()) {
     respond(store_unavailable_response());
     return;
   }
-  const StoreLimits limits = settings_.lasting_store_limits();
+  const StoreLimits limits = settings_.strictest_store_limits();
   const storage::JobRecord record{spec, clock_.unix_time(),
                                   storage::max_tasks_per_shard(limits.value_kb), false};
-  if (!storage::can_be_cancelled_within(record, limits.value_bytes())) {
+  if (!storage::cancelled_record_fits(record, limits.value_bytes())) {
     reject(spec.id,
            error_response(http_status::kBadRequest, "the names in it are too long together"),
            std::move(respond));
--- a/src/coordination/cluster_state/cluster_state.cpp
+++ b/src/coordination/cluster_state/cluster_state.cpp
@@ -118,11 +118,12 @@
 
 bool ClusterState::has_oversized_shards(const Job& job) const {
   const auto tasks_in_record = std::min(job.tasks_per_shard, job.spec.tasks);
-  return tasks_in_record > storage::max_tasks_per_shard(settings_.lasting_store_limits().value_kb);
+  return tasks_in_record >
+         storage::max_tasks_per_shard(settings_.strictest_store_limits().value_kb);
 }
 
 size_t ClusterState::record_bytes_left(const Job& job, std::uint32_t shard) const {
-  const auto limit = static_cast<size_t>(settings_.lasting_store_limits().value_bytes());
+  const auto limit = static_cast<size_t>(settings_.strictest_store_limits().value_bytes());
   const size_t used = storage::encoded_size(storage::encode(placement_record(job, shard)));
   return limit - std::min(limit, used);
 }
--- a/src/coordination/controller/controller.cpp
+++ b/src/coordination/controller/controller.cpp
@@ -111,7 +111,7 @@
 }
 
 bool Controller::is_healthy() const {
-  if (!store_.answered_ever() || !catalog_.known()) return false;
+  if (!store_.has_ever_answered() || !catalog_.known()) return false;
   if (store_.failing_for() < settings_.lease_s * kUnhealthyRatio) return true;
   // During a store outage no peer can serve users any better, so stay healthy.
   return !peers_.any_has_store_access(clock_.now());
--- a/src/coordination/controller/heartbeat_router.cpp
+++ b/src/coordination/controller/heartbeat_router.cpp
@@ -88,7 +88,8 @@
   if (!components_.peers.is_peer(batch.member)) {
     throw protocol::Malformed("no peer: " + batch.member);
   }
-  process_batch({batch, Leader::RelayRoute::state_service, std::move(respond), loading_deadline()});
+  process_batch(
+      {batch, Leader::RelayRoute::key_value_store, std::move(respond), loading_deadline()});
 }
 
 void HeartbeatRouter::process_batch(PendingBatch pending) {
--- a/src/coordination/controller/peer_status_exchange.cpp
+++ b/src/coordination/controller/peer_status_exchange.cpp
@@ -58,7 +58,7 @@
   const storage::KeyValueClient& store = components_.store;
   protocol::PeerStatus status;
   status.member = settings_.member;
-  status.store_available = store.answered_ever() && store.failing_for() == 0;
+  status.store_available = store.has_ever_answered() && store.failing_for() == 0;
   status.fencing_token = components_.election.fencing_token();
   status.version = kOwnVersion;
   status.receives_heartbeats = components_.heartbeat_router.receives_heartbeats();
--- a/src/coordination/leader/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -22,7 +22,7 @@
       term_scope_(clock),
       cluster_(settings),
       relay_assignment_(settings),
-      transaction_limit_(settings.lasting_store_limits().max_transaction_changes),
+      transaction_limit_(settings.strictest_store_limits().max_transaction_changes),
       garbage_collector_(clock, store, leadership_, settings, transaction_limit_),
       image_recorder_(clock, store, leadership_, settings, transaction_limit_, cluster_),
       command_dispatcher_(clock, client, cluster_, settings, command_dispatcher_callbacks()),
--- a/src/coordination/records/image_recorder.cpp
+++ b/src/coordination/records/image_recorder.cpp
@@ -69,7 +69,7 @@
   std::sort(by_use.begin(), by_use.end());
   storage::Images images;
   for (auto& use : by_use) images.push_back({std::move(use.name), use.gb});
-  const double value_bytes = settings_.lasting_store_limits().value_bytes();
+  const double value_bytes = settings_.strictest_store_limits().value_bytes();
   while (images.size() > 1 && !storage::fits_value(storage::encode(images), value_bytes)) {
     images.erase(images.begin());
   }
--- a/src/coordination/records/placement_writer.cpp
+++ b/src/coordination/records/placement_writer.cpp
@@ -101,7 +101,7 @@
 }
 
 void PlacementWriter::add_dirty_shards(Job& job, Transaction& transaction, Batch& batch) {
-  const double value_bytes = settings_.lasting_store_limits().value_bytes();
+  const double value_bytes = settings_.strictest_store_limits().value_bytes();
   const Seconds now = clock_.now();
   size_t bytes = 0;
   for (auto& [number, shard] : job.shards) {
@@ -317,10 +317,10 @@
       job.cancelled || !can_write()) {
     return;
   }
-  const StoreLimits limits = settings_.lasting_store_limits();
+  const StoreLimits limits = settings_.strictest_store_limits();
   const std::uint32_t tasks_per_shard = storage::max_tasks_per_shard(limits.value_kb);
   const storage::JobRecord record{job.spec, job.submitted_at, tasks_per_shard, false};
-  if (!storage::can_be_cancelled_within(record, limits.value_bytes())) return;
+  if (!storage::cancelled_record_fits(record, limits.value_bytes())) return;
   Transaction transaction = new_transaction(job);
   transaction.writes.push_back({storage::job_key(job.id()), storage::encode(record), std::nullopt});
   job.write_in_flight = true;
--- a/src/coordination/relay/acknowledged_heartbeats.cpp
+++ b/src/coordination/relay/acknowledged_heartbeats.cpp
@@ -9,7 +9,7 @@
   const auto found = by_machine_.find(heartbeat.machine);
   if (found == by_machine_.end()) return std::nullopt;
   const protocol::Heartbeat& acknowledged = found->second.heartbeat;
-  if (!protocol::unchanged(acknowledged, heartbeat)) return std::nullopt;
+  if (!protocol::equal_except_sequence(acknowledged, heartbeat)) return std::nullopt;
   return acknowledged.sequence;
 }
 
@@ -17,7 +17,7 @@
   Acknowledged& acknowledged = by_machine_[heartbeat.machine];
   acknowledged.at = now;
   // The leader keeps the heartbeat that it received in full, so a delta must not replace the base.
-  if (!protocol::unchanged(acknowledged.heartbeat, heartbeat)) {
+  if (!protocol::equal_except_sequence(acknowledged.heartbeat, heartbeat)) {
     acknowledged.heartbeat = std::move(heartbeat);
   }
 }
--- a/src/coordination/relay/store_relay_client.cpp
+++ b/src/coordination/relay/store_relay_client.cpp
@@ -41,15 +41,15 @@
       settings_(settings),
       // Starts at the time in ms, above any number that an earlier process of this controller used.
       next_number_(static_cast<std::uint64_t>(clock.unix_time() * 1000)),
-      slots_(static_cast<size_t>(settings.lasting_store_limits().max_transaction_changes)),
+      slots_(static_cast<size_t>(settings.strictest_store_limits().max_transaction_changes)),
       scope_(clock) {}
 
 size_t StoreRelayClient::batch_bytes() const {
-  return static_cast<size_t>(settings_.lasting_store_limits().value_bytes() * kRelayFillRatio);
+  return static_cast<size_t>(settings_.strictest_store_limits().value_bytes() * kRelayFillRatio);
 }
 
 Seconds StoreRelayClient::gather_time() const {
-  const double allowed = settings_.lasting_store_limits().write_rps * kWriteShare;
+  const double allowed = settings_.strictest_store_limits().write_rps * kWriteShare;
   return static_cast<double>(settings_.peers.size()) * kChangesPerBatch / allowed;
 }
 
@@ -57,7 +57,7 @@
                             transport::OnReply on_reply) {
   const storage::RelayRequestRecord record{next_number_++, batch};
   const storage::Json data = storage::encode(record);
-  const bool fits = storage::fits_value(data, settings_.lasting_store_limits().value_bytes());
+  const bool fits = storage::fits_value(data, settings_.strictest_store_limits().value_bytes());
   const auto slot = fits ? slots_.acquire() : std::nullopt;
   if (!slot) {
     scope_.after(0, [on_reply = std::move(on_reply)] { on_reply(Outcome::not_sent, {}); });
--- a/src/coordination/relay/store_relay_server.cpp
+++ b/src/coordination/relay/store_relay_server.cpp
@@ -105,7 +105,7 @@
 // The leader key is a precondition, so that a deposed leader cannot answer.
 void StoreRelayServer::write_answer(const BatchSource& source,
                                     const transport::Response& response) {
-  const double max_bytes = settings_.lasting_store_limits().value_bytes() * kRelayFillRatio;
+  const double max_bytes = settings_.strictest_store_limits().value_bytes() * kRelayFillRatio;
   const std::string body =
       response.status == kOk ? truncate_answers(response.body, max_bytes) : response.body;
   storage::Transaction transaction;
--- a/src/coordination/scaling/cloud_reconciler.cpp
+++ b/src/coordination/scaling/cloud_reconciler.cpp
@@ -109,7 +109,7 @@
 void CloudReconciler::send_rental_request(const protocol::RentalRequest& request) {
   const Seconds sent_at = clock_.now();
   client_.call(settings_.cloud.text(),
-               {"POST", protocol::kRentPath, protocol::encode_rental(request)}, kCloudTimeout,
+               {"POST", protocol::kRentalsPath, protocol::encode_rental(request)}, kCloudTimeout,
                scope_.wrap([this, request, sent_at](Outcome outcome, const Response& response) {
                  handle_rental_response(request, sent_at, outcome, response);
                }));
@@ -230,7 +230,8 @@
 }
 
 void CloudReconciler::request_page(const std::string& after, Seconds list_started_at) {
-  client_.call(settings_.cloud.text(), {"GET", protocol::list_target(after), ""}, kCloudTimeout,
+  client_.call(settings_.cloud.text(), {"GET", protocol::machine_list_target(after), ""},
+               kCloudTimeout,
                scope_.wrap([this, list_started_at](Outcome outcome, const Response& response) {
                  handle_page_response(list_started_at, outcome, response);
                }));
--- a/src/coordination/scaling/machine_catalog.cpp
+++ b/src/coordination/scaling/machine_catalog.cpp
@@ -69,7 +69,7 @@
 
 void MachineCatalog::store() {
   const auto record = storage::Json::parse(protocol::encode_catalog(types_));
-  const double max_bytes = settings_.lasting_store_limits().value_bytes();
+  const double max_bytes = settings_.strictest_store_limits().value_bytes();
   if (!storage::fits_value(record, max_bytes)) {
     spdlog::info(
         "machine catalog too large for the key-value store, controllers read it from the cloud: "
--- a/src/coordination/workers/heartbeat_endpoint.hpp
+++ b/src/coordination/workers/heartbeat_endpoint.hpp
@@ -17,7 +17,7 @@
 
 /// How a batch of heartbeats was received. If a relay cannot reach the leader directly, its workers
 /// are not redirected, as it cannot reach the other controllers either.
-enum class RelayRoute { direct, state_service };
+enum class RelayRoute { direct, key_value_store };
 
 /// Whether all records have been read in this term. Until then, heartbeats renew leases but are not
 /// reconciled with placements.
--- a/src/coordination/workers/task_reconciler.cpp
+++ b/src/coordination/workers/task_reconciler.cpp
@@ -171,10 +171,10 @@
     case ExitCause::error:
       failures_.record_failure(machine, job, placement);
       break;
-    case ExitCause::full:
+    case ExitCause::insufficient_resources:
       failures_.record_refusal(machine);
       break;
-    case ExitCause::busy:
+    case ExitCause::other_attempt_present:
     case ExitCause::unknown:
       failures_.back_off(job);
       break;
--- a/src/protocol/cloud_messages.cpp
+++ b/src/protocol/cloud_messages.cpp
@@ -101,8 +101,8 @@
   return page;
 }
 
-std::string list_target(const std::string& after) {
-  std::string target = kRentPath;
+std::string machine_list_target(const std::string& after) {
+  std::string target = kRentalsPath;
   target += "?limit=" + std::to_string(kListPageSize);
   if (!after.empty()) target += "&since=" + after;
   return target;
--- a/src/protocol/cloud_messages.hpp
+++ b/src/protocol/cloud_messages.hpp
@@ -42,7 +42,7 @@
   int count = 1;
 };
 inline constexpr int kMaxRentalCount = 50;
-inline constexpr const char* kRentPath = "/rentals";
+inline constexpr const char* kRentalsPath = "/rentals";
 std::string encode_rental(const RentalRequest& request);
 /// Returns the names of the rented machines from `{"perches":["i-000231",...]}`. Throws Malformed.
 std::vector<std::string> parse_rented(const std::string& body);
@@ -78,6 +78,6 @@
 
 /// Returns the request target for the page that starts after the machine `after`, or for the first
 /// page if `after` is empty.
-std::string list_target(const std::string& after);
+std::string machine_list_target(const std::string& after);
 
 }  // namespace larkroad::protocol
--- a/src/protocol/json.cpp
+++ b/src/protocol/json.cpp
@@ -27,32 +27,32 @@
   return field == object.end() || field->is_null() ? nullptr : &*field;
 }
 
-const Json& need(const Json& object, const char* key) {
+const Json& required_field(const Json& object, const char* key) {
   const Json* value = find(object, key);
   if (value == nullptr) throw Malformed(key, "is missing");
   return *value;
 }
 
 std::string text(const Json& object, const char* key) {
-  const Json& value = need(object, key);
+  const Json& value = required_field(object, key);
   if (!value.is_string()) throw Malformed(key, "must be a string");
   return value.get<std::string>();
 }
 
 std::uint64_t integer(const Json& object, const char* key) {
-  const Json& value = need(object, key);
+  const Json& value = required_field(object, key);
   if (!value.is_number_unsigned()) throw Malformed(key, "must be a whole number");
   return value.get<std::uint64_t>();
 }
 
 bool boolean(const Json& object, const char* key) {
-  const Json& value = need(object, key);
+  const Json& value = required_field(object, key);
   if (!value.is_boolean()) throw Malformed(key, "must be true or false");
   return value.get<bool>();
 }
 
 double amount(const Json& object, const char* key, double minimum) {
-  const Json& value = need(object, key);
+  const Json& value = required_field(object, key);
   if (!value.is_number()) throw Malformed(key, "must be a number");
   const double out = value.get<double>();
   if (!std::isfinite(out) || out < minimum) throw Malformed(key, "is out of range");
@@ -64,7 +64,7 @@
 }
 
 const Json& array(const Json& object, const char* key) {
-  const Json& value = need(object, key);
+  const Json& value = required_field(object, key);
   if (!value.is_array()) throw Malformed(key, "must be a list");
   return value;
 }
--- a/src/protocol/json.hpp
+++ b/src/protocol/json.hpp
@@ -39,7 +39,7 @@
 /// Returns the field's value, or nullptr if it is null or omitted.
 const Json* find(const Json& object, const char* key);
 /// Returns the value of a required field.
-const Json& need(const Json& object, const char* key);
+const Json& required_field(const Json& object, const char* key);
 
 std::string text(const Json& object, const char* key);
 /// An integer from 0 to 2^64 - 1.
@@ -86,7 +86,7 @@
 
 // The results point into the object, so temporaries are rejected at compile time.
 const Json* find(Json&&, const char*) = delete;
-const Json& need(Json&&, const char*) = delete;
+const Json& required_field(Json&&, const char*) = delete;
 const Json& array(Json&&, const char*) = delete;
 
 }  // namespace larkroad::protocol
--- a/src/protocol/worker_messages.cpp
+++ b/src/protocol/worker_messages.cpp
@@ -21,11 +21,11 @@
 constexpr std::array<std::pair<const char*, ExitCause>, 8> kExitCauses{{
     {"done", ExitCause::done},
     {"stopped", ExitCause::stopped},
-    {"mates_gone", ExitCause::mates_gone},
-    {"alone", ExitCause::alone},
+    {"mates_gone", ExitCause::gang_task_lost},
+    {"alone", ExitCause::gang_incomplete},
     {"error", ExitCause::error},
-    {"full", ExitCause::full},
-    {"busy", ExitCause::busy},
+    {"full", ExitCause::insufficient_resources},
+    {"busy", ExitCause::other_attempt_present},
     {"unknown", ExitCause::unknown},
 }};
 
@@ -85,7 +85,7 @@
   return name == nullptr ? "none" : name;
 }
 
-bool unchanged(const Heartbeat& a, const Heartbeat& b) {
+bool equal_except_sequence(const Heartbeat& a, const Heartbeat& b) {
   const auto all_except_sequence = [](const Heartbeat& heartbeat) {
     return std::tie(heartbeat.machine, heartbeat.incarnation, heartbeat.fencing_token,
                     heartbeat.tasks, heartbeat.reclaim_notice_s, heartbeat.address, heartbeat.type,
--- a/src/protocol/worker_messages.hpp
+++ b/src/protocol/worker_messages.hpp
@@ -25,13 +25,13 @@
 enum class ExitCause {
   none,  // has not exited
   done,
-  stopped,     // by a command
-  mates_gone,  // another task of its gang disappeared
-  alone,       // its gang did not assemble within the time limit
+  stopped,          // by a command
+  gang_task_lost,   // another task of its gang disappeared
+  gang_incomplete,  // its gang did not assemble within the time limit
   error,
-  full,     // start rejected: the machine lacks the resources
-  busy,     // start rejected: the machine has another attempt of this task
-  unknown,  // start rejected: no such job or task
+  insufficient_resources,  // start rejected: the machine lacks the resources
+  other_attempt_present,   // start rejected: the machine has another attempt of this task
+  unknown,                 // start rejected: no such job or task
 };
 
 /// Returns the wire name, for log lines; "none" for ExitCause::none.
@@ -80,7 +80,7 @@
 inline constexpr const char* kHeartbeatPath = "/checkin";
 
 /// Whether two heartbeats are equal apart from their sequence numbers.
-bool unchanged(const Heartbeat& a, const Heartbeat& b);
+bool equal_except_sequence(const Heartbeat& a, const Heartbeat& b);
 
 /// Throws Malformed.
 Heartbeat parse_heartbeat(const std::string& body);
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -150,7 +150,7 @@
   return it == teams.end() ? nullptr : &*it;
 }
 
-StoreLimits Settings::lasting_store_limits() const {
+StoreLimits Settings::strictest_store_limits() const {
   return {std::min(store_limits.value_kb, next_store_limits.value_kb),
           std::min(store_limits.max_transaction_changes, next_store_limits.max_transaction_changes),
           std::min(store_limits.write_rps, next_store_limits.write_rps),
--- a/src/settings.hpp
+++ b/src/settings.hpp
@@ -111,7 +111,7 @@
   const TeamSettings* team(const std::string& name) const;
   /// Returns the smaller of the current and the next limits. Everything written must respect both,
   /// as records outlive the change of limits.
-  StoreLimits lasting_store_limits() const;
+  StoreLimits strictest_store_limits() const;
   size_t controller_count() const { return peers.size() + 1; }
 };
 
--- a/src/storage/job_record.cpp
+++ b/src/storage/job_record.cpp
@@ -61,7 +61,7 @@
   return encode(record);
 }
 
-bool can_be_cancelled_within(JobRecord record, double value_bytes) {
+bool cancelled_record_fits(JobRecord record, double value_bytes) {
   record.cancelled = true;
   return fits_value(encode(record), value_bytes);
 }
--- a/src/storage/job_record.hpp
+++ b/src/storage/job_record.hpp
@@ -34,6 +34,6 @@
 Json encode_within(JobRecord record, double value_bytes);
 
 /// Whether a new job's record fits into `value_bytes` even after the job is cancelled.
-bool can_be_cancelled_within(JobRecord record, double value_bytes);
+bool cancelled_record_fits(JobRecord record, double value_bytes);
 
 }  // namespace larkroad::storage
--- a/src/storage/key_value_client.hpp
+++ b/src/storage/key_value_client.hpp
@@ -66,8 +66,8 @@
   /// Whether a request should be attempted. False while requests have been failing for longer than
   /// one timeout, except for an occasional probe. Callers that serve a user then report at once
   /// that the store is unavailable.
-  bool worth_trying() { return availability_.worth_trying(); }
-  bool answered_ever() const { return availability_.answered_ever(); }
+  bool allow_request() { return availability_.allow_request(); }
+  bool has_ever_answered() const { return availability_.has_ever_answered(); }
   Seconds call_timeout() const { return timeout_; }
 
  private:
--- a/src/storage/rate_limiter.cpp
+++ b/src/storage/rate_limiter.cpp
@@ -16,7 +16,7 @@
 
 RateLimiter::RateLimiter(const Settings& settings, Seconds now)
     : current_limits_(settings.store_limits),
-      lasting_limits_(settings.lasting_store_limits()),
+      strictest_limits_(settings.strictest_store_limits()),
       active_limits_(settings.store_limits),
       next_lowering_duration_(settings.lease_s),
       refilled_at_(now) {
@@ -54,11 +54,11 @@
 }
 
 std::optional<Seconds> RateLimiter::lower_limits(Seconds now) {
-  const bool differs = lasting_limits_.write_rps < current_limits_.write_rps ||
-                       lasting_limits_.rps < current_limits_.rps;
+  const bool differs = strictest_limits_.write_rps < current_limits_.write_rps ||
+                       strictest_limits_.rps < current_limits_.rps;
   if (!differs || (lowered_until_ && now < *lowered_until_)) return std::nullopt;
   const Seconds duration = next_lowering_duration_;
-  active_limits_ = lasting_limits_;
+  active_limits_ = strictest_limits_;
   lowered_until_ = now + duration;
   next_lowering_duration_ *= 2;
   request_tokens_ = std::min(request_tokens_, 0.0);
--- a/src/storage/rate_limiter.hpp
+++ b/src/storage/rate_limiter.hpp
@@ -50,8 +50,8 @@
   double writes_per_second() const { return active_limits_.write_rps * write_share_; }
 
   StoreLimits current_limits_;
-  StoreLimits lasting_limits_;  // the smaller of the current and the next limits
-  StoreLimits active_limits_;   // in force
+  StoreLimits strictest_limits_;  // the smaller of the current and the next limits
+  StoreLimits active_limits_;     // in force
   std::optional<Seconds> lowered_until_;
   Seconds next_lowering_duration_;  // the duration of the next period of lower limits
   double request_share_ = 1;
--- a/src/storage/record_error.hpp
+++ b/src/storage/record_error.hpp
@@ -70,7 +70,7 @@
   /// Returns the result of `decode_value` for the value of a required field.
   template <typename Decode>
   std::invoke_result_t<Decode, const Json&> decode(const char* field, Decode decode_value) const {
-    return read(field, [&] { return decode_value(protocol::need(data_, field)); });
+    return read(field, [&] { return decode_value(protocol::required_field(data_, field)); });
   }
 
  private:
--- a/src/storage/store_availability.cpp
+++ b/src/storage/store_availability.cpp
@@ -26,7 +26,7 @@
   return std::max(kMinFailureDuration, clock_.now() - *failing_since_);
 }
 
-bool StoreAvailability::worth_trying() {
+bool StoreAvailability::allow_request() {
   if (failing_for() < timeout_) return true;
   const Seconds now = clock_.now();
   if (probed_at_ && now - *probed_at_ < timeout_ * kProbeIntervalRatio) return false;
--- a/src/storage/store_availability.hpp
+++ b/src/storage/store_availability.hpp
@@ -22,8 +22,8 @@
   Seconds failing_for() const;
   /// Whether a request should be attempted. False while requests have been failing for longer than
   /// one timeout, except for an occasional probe; returning true then starts the probe interval.
-  bool worth_trying();
-  bool answered_ever() const { return answered_ever_; }
+  bool allow_request();
+  bool has_ever_answered() const { return answered_ever_; }
 
  private:
   transport::Clock& clock_;
--- a/src/storage/store_messages.cpp
+++ b/src/storage/store_messages.cpp
@@ -17,7 +17,8 @@
 constexpr double kMaxLeaseTtlMs = 600'000;
 
 Entry decode_entry_json(const Json& json) {
-  return {protocol::text(json, "k"), protocol::need(json, "data"), protocol::integer(json, "mark")};
+  return {protocol::text(json, "k"), protocol::required_field(json, "data"),
+          protocol::integer(json, "mark")};
 }
 
 Event decode_event(const Json& json) {
@@ -28,7 +29,7 @@
     event.key = protocol::text(json, "drop");
   } else {
     event.key = protocol::text(json, "write");
-    event.data = protocol::need(json, "data");
+    event.data = protocol::required_field(json, "data");
   }
   return event;
 }
--- a/src/transport/http.hpp
+++ b/src/transport/http.hpp
@@ -24,7 +24,7 @@
   int retry_after_s = 0;  ///< value of the Retry-After header; 0 means that it is not sent
   /// Closing the connection costs this client little. A server close to its connection limit closes
   /// it after this response.
-  bool brief = false;
+  bool close_near_limit = false;
 };
 
 /// Outcome of a request.
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -152,7 +152,7 @@
   }
 
   void write(const Response& response) {
-    if (response.brief && *owner_ != nullptr && (*owner_)->near_connection_limit()) {
+    if (response.close_near_limit && *owner_ != nullptr && (*owner_)->near_connection_limit()) {
       keep_alive_ = false;
     }
     outgoing_ = encode_response(response, keep_alive_);
--- a/tests/cloud_reconciler_test.cpp
+++ b/tests/cloud_reconciler_test.cpp
@@ -89,7 +89,7 @@
 
   // Answers the latest list call; `start` has sent the first one.
   void answer_list(const std::vector<std::string>& names, const std::string& stage = "running") {
-    const auto lists = client_.sent_to(protocol::list_target(""));
+    const auto lists = client_.sent_to(protocol::machine_list_target(""));
     ASSERT_FALSE(lists.empty());
     lists.back().reply(Outcome::answered, {200, list_response(names, stage)});
   }
@@ -102,7 +102,7 @@
   }
 
   std::vector<RecordingClient::Call> rentals() const {
-    return client_.sent_to(protocol::kRentPath);
+    return client_.sent_to(protocol::kRentalsPath);
   }
   std::vector<RecordingClient::Call> releases() const {
     return client_.sent_to(protocol::kReturnPath);
--- a/tests/key_value_client_test.cpp
+++ b/tests/key_value_client_test.cpp
@@ -191,17 +191,17 @@
 }
 
 TEST_F(KeyValueClientTest, ReportsTheDurationOfFailures) {
-  EXPECT_FALSE(client.answered_ever());
+  EXPECT_FALSE(client.has_ever_answered());
   client.get("a", [](Status, Entry) {});
-  EXPECT_TRUE(client.answered_ever());
+  EXPECT_TRUE(client.has_ever_answered());
   EXPECT_EQ(client.failing_for(), 0);
   net.script = {kUnavailable, testing::kLostAnswer};
   client.get("a", [](Status, Entry) {});
   clock.run_until(clock.now() + 3);
   client.get("a", [](Status, Entry) {});
   EXPECT_NEAR(client.failing_for(), 3, 0.1);
-  EXPECT_TRUE(client.worth_trying());   // one probe
-  EXPECT_FALSE(client.worth_trying());  // no second probe right after it
+  EXPECT_TRUE(client.allow_request());   // one probe
+  EXPECT_FALSE(client.allow_request());  // no second probe right after it
   client.get("a", [](Status, Entry) {});
   EXPECT_EQ(client.failing_for(), 0);
 }
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -225,7 +225,7 @@
   for (const auto& c : cases) {
     JobSpec spec = testing::spec("job-1");
     c.change(spec);
-    EXPECT_EQ(!coordination::never_runnable(spec, settings, types), c.runnable) << c.what;
+    EXPECT_EQ(!coordination::unschedulable_reason(spec, settings, types), c.runnable) << c.what;
   }
 }
 
@@ -273,7 +273,7 @@
   const RelayBatch parsed = parse_batch(body);
   ASSERT_EQ(parsed.heartbeats.size(), 1u);
   ASSERT_TRUE(parsed.heartbeats[0].heartbeat);
-  EXPECT_TRUE(unchanged(*parsed.heartbeats[0].heartbeat, heartbeat));
+  EXPECT_TRUE(equal_except_sequence(*parsed.heartbeats[0].heartbeat, heartbeat));
   EXPECT_EQ(parsed.heartbeats[0].heartbeat->sequence, 88u);
   EXPECT_EQ(parsed.heartbeats[0].heartbeat->reclaim_notice_s, 7.5);
   // An invalid state, an invalid exit cause and a field of the wrong type.
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -94,8 +94,8 @@
   JobRecord record{testing::spec("job-1", 3), 1.5, 16, false};
   record.spec.image = std::string(200, '\x01');  // six bytes per character when encoded
   const auto size = static_cast<double>(encoded_size(encode(record)));
-  EXPECT_FALSE(can_be_cancelled_within(record, size));
-  EXPECT_TRUE(can_be_cancelled_within(record, size + 20));
+  EXPECT_FALSE(cancelled_record_fits(record, size));
+  EXPECT_TRUE(cancelled_record_fits(record, size + 20));
   EXPECT_EQ(encode_within(record, size - 1), encode(record))
       << "only the record of a cancelled job is shortened";
   record.cancelled = true;
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -44,7 +44,7 @@
   const std::string text = testing::settings_text();
   const Settings none = parse_settings(text);
   EXPECT_DOUBLE_EQ(none.next_store_limits.value_kb, 4);
-  EXPECT_EQ(none.lasting_store_limits().max_transaction_changes, 8);
+  EXPECT_EQ(none.strictest_store_limits().max_transaction_changes, 8);
   const std::string next = "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 16\nwrite_rps = 18.0\n";
   const Settings some = parse_settings(text + next);
   EXPECT_DOUBLE_EQ(some.store_limits.value_kb, 4);
@@ -52,9 +52,9 @@
   EXPECT_DOUBLE_EQ(some.next_store_limits.rps, 100)
       << "a limit that is not given keeps its current value";
   // The smaller of the current and the next value of each limit.
-  EXPECT_DOUBLE_EQ(some.lasting_store_limits().value_kb, 2);
-  EXPECT_DOUBLE_EQ(some.lasting_store_limits().write_rps, 18);
-  EXPECT_EQ(some.lasting_store_limits().max_transaction_changes, 8);
+  EXPECT_DOUBLE_EQ(some.strictest_store_limits().value_kb, 2);
+  EXPECT_DOUBLE_EQ(some.strictest_store_limits().write_rps, 18);
+  EXPECT_EQ(some.strictest_store_limits().max_transaction_changes, 8);
   for (const char* invalid :
        {"value_kb = 0.0", "txn_ops = 2.5", "write_rps = -1.0", "rps = \"x\""}) {
     EXPECT_THROW(parse_settings(text + "[cluster.state.next]\n" + invalid), SettingsError)
--- a/tests/sim/digest.cpp
+++ b/tests/sim/digest.cpp
@@ -150,7 +150,7 @@
       fmt::format("{} {} -> {} {} {}", when, sender, receiver, request.method, request.target);
   if (response == nullptr) return fmt::format("{} {}\n", prefix, request.body);
   return fmt::format("{} status={} retry_after={} brief={} {}\n", prefix, response->status,
-                     response->retry_after_s, response->brief, response->body);
+                     response->retry_after_s, response->close_near_limit, response->body);
 }
 
 void execute_run(const Run& run, const std::function<void(const std::string& line)>& on_message) {
