--- a/tests/combined_failures_test.cpp
+++ b/tests/combined_failures_test.cpp
@@ -253,7 +253,7 @@
 
 class CombinedFailureScenario : public ::testing::TestWithParam<Scenario> {};
 
-TEST_P(CombinedFailureScenario, KeepsTheRulesAndFinishes) {
+TEST_P(CombinedFailureScenario, SatisfiesInvariantsAndFinishesJobs) {
   for (const std::uint64_t seed : {1, 2, 3}) run_and_verify(GetParam(), seed);
 }
 
--- a/tests/job_cache_test.cpp
+++ b/tests/job_cache_test.cpp
@@ -10,7 +10,7 @@
 namespace larkroad::storage {
 namespace {
 
-using testing::ScriptedAnswer;
+using testing::ScriptedReply;
 using transport::Outcome;
 
 constexpr const char* kListed =
@@ -35,7 +35,7 @@
 TEST_F(JobCacheTest, ManyQueriesShareOneRequest) {
   const struct {
     const char* description;
-    ScriptedAnswer answer;
+    ScriptedReply answer;
     const char* target;
     Status status;
     std::vector<std::pair<std::string, bool>> jobs;  // id and whether it is cancelled
@@ -65,7 +65,7 @@
        Status::unavailable,
        {{"job-1", true}, {"job-3", false}}},
       {"reply lost",
-       testing::kLostAnswer,
+       testing::kLostReply,
        "/watch?starts=j/&since=12&blockMs=0",
        Status::unknown,
        {{"job-1", true}, {"job-3", false}}},
--- a/tests/key_value_client_test.cpp
+++ b/tests/key_value_client_test.cpp
@@ -11,7 +11,7 @@
 namespace larkroad::storage {
 namespace {
 
-using testing::ScriptedAnswer;
+using testing::ScriptedReply;
 using testing::ScriptedStoreClient;
 using transport::Outcome;
 
@@ -30,34 +30,30 @@
   }
 };
 
-const ScriptedAnswer kUnavailable{Outcome::answered, {503, "{}", 0}};
-const ScriptedAnswer kApplied{Outcome::answered, {200, R"({"ledger":9})", 0}};
-const ScriptedAnswer kConflict{Outcome::answered, {409, R"({"failed":["a"],"ledger":9})", 0}};
-const ScriptedAnswer kOwnData{Outcome::answered, {200, R"({"k":"a","data":{"x":1},"mark":7})", 0}};
-const ScriptedAnswer kOtherData{Outcome::answered,
-                                {200, R"({"k":"a","data":{"x":2},"mark":7})", 0}};
+const ScriptedReply kUnavailable{Outcome::answered, {503, "{}", 0}};
+const ScriptedReply kApplied{Outcome::answered, {200, R"({"ledger":9})", 0}};
+const ScriptedReply kConflict{Outcome::answered, {409, R"({"failed":["a"],"ledger":9})", 0}};
+const ScriptedReply kOwnData{Outcome::answered, {200, R"({"k":"a","data":{"x":1},"mark":7})", 0}};
+const ScriptedReply kOtherData{Outcome::answered, {200, R"({"k":"a","data":{"x":2},"mark":7})", 0}};
 
 TEST_F(KeyValueClientTest, CommitUntilCertainReportsTheOutcome) {
   const struct {
     const char* description;
-    std::deque<ScriptedAnswer> script;
+    std::deque<ScriptedReply> script;
     Status status;
     std::uint64_t revision;
   } cases[] = {
       {"applied", {kApplied}, Status::ok, 9},
       {"unavailable, then applied", {kUnavailable, kUnavailable, kApplied}, Status::ok, 9},
       {"precondition failed", {kConflict}, Status::conflict, 0},
-      {"reply lost, then applied", {testing::kLostAnswer, kApplied}, Status::ok, 9},
-      {"reply lost after being applied",
-       {testing::kLostAnswer, kConflict, kOwnData},
-       Status::ok,
-       7},
+      {"reply lost, then applied", {testing::kLostReply, kApplied}, Status::ok, 9},
+      {"reply lost after being applied", {testing::kLostReply, kConflict, kOwnData}, Status::ok, 7},
       {"reply lost after being applied, first read-back lost",
-       {testing::kLostAnswer, kConflict, testing::kLostAnswer, kConflict, kOwnData},
+       {testing::kLostReply, kConflict, testing::kLostReply, kConflict, kOwnData},
        Status::ok,
        7},
       {"reply lost, key changed by another transaction",
-       {testing::kLostAnswer, kConflict, kOtherData},
+       {testing::kLostReply, kConflict, kOtherData},
        Status::conflict,
        0},
   };
@@ -73,7 +69,7 @@
 }
 
 TEST_F(KeyValueClientTest, CommitUntilCertainGivesUpWhenNoLongerWanted) {
-  for (int i = 0; i < 1000; ++i) net.script.push_back(testing::kLostAnswer);
+  for (int i = 0; i < 1000; ++i) net.script.push_back(testing::kLostReply);
   EXPECT_EQ(commit_until_certain().status, Status::unknown);
 }
 
@@ -195,7 +191,7 @@
   client.get("a", [](Status, Entry) {});
   EXPECT_TRUE(client.has_ever_answered());
   EXPECT_EQ(client.failing_for(), 0);
-  net.script = {kUnavailable, testing::kLostAnswer};
+  net.script = {kUnavailable, testing::kLostReply};
   client.get("a", [](Status, Entry) {});
   clock.run_until(clock.now() + 3);
   client.get("a", [](Status, Entry) {});
@@ -219,7 +215,7 @@
       {"another key changed", R"({"failed":["leader"]})", Status::conflict},
   };
   for (const auto& c : cases) {
-    net.script = {testing::kLostAnswer,
+    net.script = {testing::kLostReply,
                   {Outcome::answered, {409, c.failed, 0}},
                   {Outcome::answered, {200, R"({"k":"a","data":{"x":1},"mark":7})", 0}}};
     EXPECT_EQ(commit_until_certain().status, c.status) << c.description;
--- a/tests/relay_scenarios_test.cpp
+++ b/tests/relay_scenarios_test.cpp
@@ -140,7 +140,7 @@
 
 class RelayScenario : public ::testing::TestWithParam<Scenario> {};
 
-TEST_P(RelayScenario, KeepsInvariantsAndFinishes) {
+TEST_P(RelayScenario, SatisfiesInvariantsAndFinishesJobs) {
   for (const std::uint64_t seed : {1, 2, 3}) run_and_verify(GetParam(), seed);
 }
 
--- a/tests/scripted_store.hpp
+++ b/tests/scripted_store.hpp
@@ -18,7 +18,7 @@
 using transport::Request;
 using transport::Response;
 using transport::Seconds;
-using ScriptedAnswer = std::pair<Outcome, Response>;
+using ScriptedReply = std::pair<Outcome, Response>;
 
 /// Answers each call immediately with the next reply of the script, or with success when the script
 /// is exhausted.
@@ -35,10 +35,10 @@
     reply(outcome, response);
   }
   std::vector<Request> sent;
-  std::deque<ScriptedAnswer> script;
+  std::deque<ScriptedReply> script;
 };
 
-inline const ScriptedAnswer kLostAnswer{Outcome::unknown, {}};
+inline const ScriptedReply kLostReply{Outcome::unknown, {}};
 
 /// Fixture with a key-value store client connected to a scripted store.
 class ScriptedStoreTest : public ::testing::Test {
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -248,7 +248,7 @@
 
 class ServiceScenario : public ::testing::TestWithParam<Scenario> {};
 
-TEST_P(ServiceScenario, UpholdsInvariantsAndEndsWhenCancelled) {
+TEST_P(ServiceScenario, SatisfiesInvariantsAndEndsWhenCancelled) {
   for (const std::uint64_t seed : {1, 2, 3}) run_and_verify(GetParam(), seed);
 }
 
--- a/tests/single_fault_scenarios_test.cpp
+++ b/tests/single_fault_scenarios_test.cpp
@@ -351,7 +351,7 @@
 
 class SingleFaultScenario : public ::testing::TestWithParam<Scenario> {};
 
-TEST_P(SingleFaultScenario, KeepsTheRulesAndFinishes) {
+TEST_P(SingleFaultScenario, SatisfiesInvariantsAndFinishesJobs) {
   for (const std::uint64_t seed : {1, 2, 3}) run_and_verify(GetParam(), seed);
 }
 
--- a/tests/store_relay_test.cpp
+++ b/tests/store_relay_test.cpp
@@ -161,7 +161,7 @@
 
 class ZonePartitionScenario : public ::testing::TestWithParam<Scenario> {};
 
-TEST_P(ZonePartitionScenario, KeepsInvariantsAndFinishes) {
+TEST_P(ZonePartitionScenario, SatisfiesInvariantsAndFinishesJobs) {
   for (const std::uint64_t seed : {1, 2, 3, 4}) run_and_verify(GetParam(), seed);
 }
 
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -185,7 +185,7 @@
 
 class UpgradeScenario : public ::testing::TestWithParam<Scenario> {};
 
-TEST_P(UpgradeScenario, KeepsTheRulesAndFinishes) {
+TEST_P(UpgradeScenario, SatisfiesInvariantsAndFinishesJobs) {
   for (const std::uint64_t seed : {1, 2, 3}) run_and_verify(GetParam(), seed);
 }
 
--- a/tests/user_api_test.cpp
+++ b/tests/user_api_test.cpp
@@ -15,30 +15,30 @@
 namespace {
 
 using protocol::Json;
-using testing::ScriptedAnswer;
+using testing::ScriptedReply;
 using transport::Outcome;
 using transport::Request;
 using transport::Response;
 
-ScriptedAnswer answer(int status, const Json& body) {
+ScriptedReply answer(int status, const Json& body) {
   return {Outcome::answered, {status, body.dump(), 0}};
 }
 
-ScriptedAnswer job_entry(bool cancelled, std::uint64_t revision) {
+ScriptedReply job_entry(bool cancelled, std::uint64_t revision) {
   const storage::JobRecord record{testing::spec("job-1", 3), 1, 16, cancelled};
   return answer(200, {{"k", "j/job-1"}, {"data", storage::encode(record)}, {"mark", revision}});
 }
 
-ScriptedAnswer finished_entry(bool cancelled) {
+ScriptedReply finished_entry(bool cancelled) {
   return answer(200, {{"k", "d/job-1"},
                       {"data", storage::encode(storage::FinishedRecord{cancelled, 3})},
                       {"mark", 5}});
 }
 
-const ScriptedAnswer kRecordMissing = answer(404, {{"ledger", 9}});
-const ScriptedAnswer kCommitSucceeded = answer(200, {{"ledger", 9}});
-const ScriptedAnswer kCommitConflict = answer(409, {{"failed", {"j/job-1"}}, {"ledger", 9}});
-const ScriptedAnswer kEmptyJobList = answer(200, {{"pairs", Json::array()}, {"ledger", 9}});
+const ScriptedReply kRecordMissing = answer(404, {{"ledger", 9}});
+const ScriptedReply kCommitSucceeded = answer(200, {{"ledger", 9}});
+const ScriptedReply kCommitConflict = answer(409, {{"failed", {"j/job-1"}}, {"ledger", 9}});
+const ScriptedReply kEmptyJobList = answer(200, {{"pairs", Json::array()}, {"ledger", 9}});
 
 class UserApiTest : public testing::ScriptedStoreTest {
  protected:
@@ -90,7 +90,7 @@
 TEST_F(UserApiTest, CancellationDependsOnTheJobRecord) {
   const struct {
     const char* what;
-    std::deque<ScriptedAnswer> script;
+    std::deque<ScriptedReply> script;
     int status;
     const char* state;  // nullptr: no job in the response
     bool newly_cancelled;
@@ -132,7 +132,7 @@
                               {"POST", "/v2/runs/job-1/cancel", ""},
                               {"POST", "/v2/runs", R"({"ref":"job-1"})"}};
   for (const Request& user_request : requests) {
-    net.script = {testing::kLostAnswer};
+    net.script = {testing::kLostReply};
     const Response response = request(user_request);
     EXPECT_EQ(response.status, 503) << user_request.target;
     EXPECT_EQ(response.retry_after_s, 1) << user_request.target;
