--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -1,9 +1,11 @@
 #include "settings.hpp"
 
 #include <algorithm>
+#include <cerrno>
 #include <fstream>
 #include <set>
 #include <sstream>
+#include <system_error>
 
 #include "settings_section.hpp"
 
@@ -13,13 +15,36 @@
 constexpr double kMillisecondsPerSecond = 1000;
 
 std::string read_file(const std::string& path) {
+  errno = 0;
   std::ifstream in(path);
-  if (!in) throw SettingsError("settings: cannot read " + path);
+  if (!in) {
+    throw SettingsError("settings: cannot read " + path + ": " +
+                        std::generic_category().message(errno));
+  }
   std::ostringstream text;
   text << in.rdbuf();
   return text.str();
 }
 
+// Parses the content of a file and adds the file's path to any error.
+template <typename Parse>
+auto parse_file(const std::string& path, Parse parse) {
+  const std::string text = read_file(path);
+  try {
+    return parse(text);
+  } catch (const SettingsError& error) {
+    throw SettingsError(std::string(error.what()) + " (in " + path + ")");
+  }
+}
+
+// Throws SettingsError for a number that is inconsistent with another field.
+[[noreturn]] void throw_number_error(const std::string& path, const std::string& relation,
+                                     const std::string& other, double other_value, double found) {
+  std::ostringstream problem;
+  problem << "must be " << relation << " " << other << " (" << other_value << "), not " << found;
+  throw_field_error(path, problem.str());
+}
+
 void parse_members(const SettingsSection& root, Settings& settings) {
   settings.member = root.string("member");
   settings.zone = root.string("zone");
@@ -29,7 +54,8 @@
   for (const SettingsSection& section : root.sections_or_empty("peers")) {
     PeerSettings peer{section.string("member"), section.string("zone"), section.address("addr")};
     if (!members.insert(peer.member).second) {
-      throw_field_error(section.path_of("member"), "is named twice: " + peer.member);
+      throw_field_error(section.path_of("member"),
+                        "must be unique among the members, but '" + peer.member + "' is repeated");
     }
     settings.peers.push_back(std::move(peer));
   }
@@ -48,10 +74,12 @@
   team.gpus = section.number_or("gpus", 0, 0);
   team.gpus_max = section.number_or("gpus_max", 0, team.gpus);
   if (team.cpus_max < team.cpus) {
-    throw_field_error(section.path_of("cpus_max"), "must not be less than cpus");
+    throw_number_error(section.path_of("cpus_max"), "at least", section.path_of("cpus"), team.cpus,
+                       team.cpus_max);
   }
   if (team.gpus_max < team.gpus) {
-    throw_field_error(section.path_of("gpus_max"), "must not be less than gpus");
+    throw_number_error(section.path_of("gpus_max"), "at least", section.path_of("gpus"), team.gpus,
+                       team.gpus_max);
   }
   // 0 means that no limit is set: a team without a quota has neither a guarantee nor a limit. When
   // 0 was treated as a limit of zero, all submissions from such teams were rejected. A team with a
@@ -68,7 +96,8 @@
   for (const SettingsSection& section : cluster.sections("teams")) {
     TeamSettings team = parse_team(section);
     if (settings.team(team.name) != nullptr) {
-      throw_field_error(section.path_of("name"), "is named twice: " + team.name);
+      throw_field_error(section.path_of("name"),
+                        "must be unique among the teams, but '" + team.name + "' is repeated");
     }
     settings.teams.push_back(std::move(team));
   }
@@ -92,12 +121,12 @@
   settings.gang_peer_s = workers.positive_number("gang_peer_s");
   settings.cancellation_limit_s = workers.positive_number("cancel_s");
   if (settings.lease_s <= settings.heartbeat_interval_s) {
-    throw_field_error(workers.path_of("lease_s"),
-                      "must be greater than " + workers.path_of("report_s"));
+    throw_number_error(workers.path_of("lease_s"), "greater than", workers.path_of("report_s"),
+                       settings.heartbeat_interval_s, settings.lease_s);
   }
   if (settings.cancellation_limit_s <= settings.lease_s) {
-    throw_field_error(workers.path_of("cancel_s"),
-                      "must be greater than " + workers.path_of("lease_s"));
+    throw_number_error(workers.path_of("cancel_s"), "greater than", workers.path_of("lease_s"),
+                       settings.lease_s, settings.cancellation_limit_s);
   }
 }
 
@@ -167,7 +196,7 @@
   return settings;
 }
 
-Settings load_settings(const std::string& path) { return parse_settings(read_file(path)); }
+Settings load_settings(const std::string& path) { return parse_file(path, parse_settings); }
 
 // Operators edit this file by hand, so an unknown field is most likely a mistake.
 OperatorSettings parse_operators(const std::string& toml_text) {
@@ -189,7 +218,7 @@
 }
 
 OperatorSettings load_operators(const std::string& path) {
-  return parse_operators(read_file(path));
+  return parse_file(path, parse_operators);
 }
 
 }  // namespace larkroad
--- a/src/settings_section.hpp
+++ b/src/settings_section.hpp
@@ -52,7 +52,8 @@
   void reject_unknown_fields(const std::set<std::string>& known) const;
 
  private:
-  const toml::node& require(const char* key) const;
+  /// Returns a required field. `expected`: what it must be, for the error if it is missing.
+  const toml::node& require(const char* key, const char* expected) const;
 
   const toml::table& table_;
   std::string path_;
@@ -61,7 +62,7 @@
 /// Throws SettingsError for one field.
 [[noreturn]] void throw_field_error(const std::string& path, const std::string& problem);
 
-/// Throws SettingsError with the line number of a syntax error.
+/// Throws SettingsError with the position of a syntax error.
 toml::table parse_toml(const std::string& text);
 
 }  // namespace larkroad
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -2,6 +2,9 @@
 
 #include <gtest/gtest.h>
 
+#include <cstdio>
+#include <fstream>
+
 #include "support.hpp"
 
 namespace larkroad {
@@ -72,29 +75,42 @@
     const char* from;
     const char* to;
     const char* named;
+    const char* problem;  // must be part of the text
   } cases[] = {
-      {"member = \"node-0\"", "", "member"},
-      {"zone = \"east\"", "zone = 3", "zone"},
-      {"client_listen = \"127.0.0.1:18080\"", "client_listen = \"127.0.0.1\"", "client_listen"},
+      {"member = \"node-0\"", "", "member", "is missing, must be a string"},
+      {"zone = \"east\"", "zone = 3", "zone", "must be a string, not 3"},
+      {"client_listen = \"127.0.0.1:18080\"", "client_listen = \"127.0.0.1\"", "client_listen",
+       "must be HOST:PORT, with a port from 1 to 65535, not '127.0.0.1'"},
       {"client_listen = \"127.0.0.1:18080\"", "client_listen = \"127.0.0.1:99999\"",
-       "client_listen"},
-      {"peer_bind = \"127.0.0.1:18081\"", "peer_bind = \"127.0.0.1:80x\"", "peer_bind"},
-      {"member = \"node-1\"", "member = \"node-0\"", "peers[0].member"},
-      {"cloud = \"127.0.0.9:443\"", "", "endpoints.cloud"},
-      {"zones = [\"east\", \"west\"]", "zones = []", "cluster.zones"},
-      {"zones = [\"east\", \"west\"]", "zones = \"east\"", "cluster.zones"},
-      {"cpus_max = 32.0", "cpus_max = 8.0", "cluster.teams[0].cpus_max"},
-      {"cpus_max = 32.0", "cpus_max = -1.0", "cluster.teams[0].cpus_max"},
-      {"name = \"blue\"", "name = \"red\"", "cluster.teams[1].name"},
-      {"report_s = 2.0", "report_s = 0.0", "cluster.workers.report_s"},
-      {"report_s = 2.0", "report_s = nan", "cluster.workers.report_s"},
-      {"lease_s = 12.0", "lease_s = 1.0", "cluster.workers.lease_s"},
-      {"cancel_s = 30.0", "cancel_s = 12.0", "cluster.workers.cancel_s"},
-      {"txn_ops = 8", "txn_ops = 8.5", "cluster.state.txn_ops"},
-      {"txn_ops = 8", "txn_ops = 0", "cluster.state.txn_ops"},
-      {"rps = 100.0", "rps = \"many\"", "cluster.state.rps"},
-      {"sockets = 200", "", "cluster.resources.sockets"},
-      {"[cluster.cloud]", "[cluster.sky]", "cluster.cloud"},
+       "client_listen", "not '127.0.0.1:99999'"},
+      {"peer_bind = \"127.0.0.1:18081\"", "peer_bind = \"127.0.0.1:80x\"", "peer_bind",
+       "not '127.0.0.1:80x'"},
+      {"member = \"node-1\"", "member = \"node-0\"", "peers[0].member", "'node-0' is repeated"},
+      {"cloud = \"127.0.0.9:443\"", "", "endpoints.cloud", "is missing, must be a string"},
+      {"zones = [\"east\", \"west\"]", "zones = []", "cluster.zones", "must not be empty"},
+      {"zones = [\"east\", \"west\"]", "zones = [\"east\", 3]", "cluster.zones[1]",
+       "must be a non-empty string, not 3"},
+      {"zones = [\"east\", \"west\"]", "zones = \"east\"", "cluster.zones",
+       "must be a list of strings, not "},
+      {"cpus_max = 32.0", "cpus_max = 8.0", "cluster.teams[0].cpus_max",
+       "must be at least cluster.teams[0].cpus (16), not 8"},
+      {"cpus_max = 32.0", "cpus_max = -1.0", "cluster.teams[0].cpus_max",
+       "must be a finite number of at least 0, not -1"},
+      {"name = \"blue\"", "name = \"red\"", "cluster.teams[1].name", "'red' is repeated"},
+      {"report_s = 2.0", "report_s = 0.0", "cluster.workers.report_s",
+       "must be greater than 0, not 0"},
+      {"report_s = 2.0", "report_s = nan", "cluster.workers.report_s",
+       "must be a finite number of at least 0, not nan"},
+      {"lease_s = 12.0", "lease_s = 1.0", "cluster.workers.lease_s",
+       "must be greater than cluster.workers.report_s (2), not 1"},
+      {"cancel_s = 30.0", "cancel_s = 12.0", "cluster.workers.cancel_s",
+       "must be greater than cluster.workers.lease_s (12), not 12"},
+      {"txn_ops = 8", "txn_ops = 8.5", "cluster.state.txn_ops", "must be a whole number, not 8.5"},
+      {"txn_ops = 8", "txn_ops = 0", "cluster.state.txn_ops",
+       "must be from 1 to 1000000000, not 0"},
+      {"rps = 100.0", "rps = \"many\"", "cluster.state.rps", "must be a number, not "},
+      {"sockets = 200", "", "cluster.resources.sockets", "is missing, must be a whole number"},
+      {"[cluster.cloud]", "[cluster.sky]", "cluster.cloud", "is missing, must be a table"},
   };
   for (const auto& c : cases) {
     SCOPED_TRACE(std::string(c.from) + " -> " + c.to);
@@ -105,6 +121,7 @@
       EXPECT_NE(std::string(error.what()).find(std::string("settings: ") + c.named + " "),
                 std::string::npos)
           << error.what();
+      EXPECT_NE(std::string(error.what()).find(c.problem), std::string::npos) << error.what();
     }
   }
 }
@@ -116,7 +133,27 @@
   } catch (const SettingsError& error) {
     EXPECT_NE(std::string(error.what()).find("line 1"), std::string::npos) << error.what();
   }
-  EXPECT_THROW(load_settings("/nonexistent/settings.toml"), SettingsError);
+}
+
+TEST(Settings, FileErrorsNameTheFileAndTheReason) {
+  try {
+    load_settings("/nonexistent/settings.toml");
+    FAIL() << "accepted";
+  } catch (const SettingsError& error) {
+    EXPECT_STREQ(error.what(),
+                 "settings: cannot read /nonexistent/settings.toml: No such file or directory");
+  }
+  const std::string path = ::testing::TempDir() + "larkroad_invalid_operators.toml";
+  std::ofstream(path) << "[gangs]\nhold = 5\n";
+  try {
+    load_operators(path);
+    ADD_FAILURE() << "accepted";
+  } catch (const SettingsError& error) {
+    EXPECT_EQ(
+        std::string(error.what()),
+        "settings: gangs.hold is not a known field, must be one of: hold_s (in " + path + ")");
+  }
+  std::remove(path.c_str());
 }
 
 TEST(OperatorSettings, DefaultsAndErrors) {
