--- a/src/storage/image_record.cpp
+++ b/src/storage/image_record.cpp
@@ -15,7 +15,7 @@
 }
 
 Images decode_list(const Json& items) {
-  if (!items.is_array()) throw protocol::Malformed("must be a list");
+  if (!items.is_array()) throw protocol::Malformed("must be a list of [name, size in GB]");
   Images images;
   for (const Json& item : items) images.push_back(decode_image(item));
   return images;
--- a/src/storage/job_record.cpp
+++ b/src/storage/job_record.cpp
@@ -14,14 +14,22 @@
 constexpr const char* kSubmittedAt = "at";
 constexpr const char* kTasksPerShard = "chunk";
 constexpr const char* kCancelled = "cancelled";
+// The name used in errors for all fields of the job's specification.
+constexpr const char* kSpecification = "specification";
 
 // The fields of the specification are stored next to the record's own fields, and the text of a
-// decoding error names the field.
+// decoding error names the field and the value found in it.
 protocol::JobSpec decode_stored_spec(const std::string& id, const Json& data) {
   try {
     return protocol::decode_spec(id, data);
+  } catch (const protocol::Malformed& error) {
+    std::string reason = error.what();
+    if (error.field() && data.contains(*error.field())) {
+      reason += ", found " + describe(data.at(*error.field()));
+    }
+    throw RecordError(kRecordKind, kSpecification, reason);
   } catch (const std::exception& error) {
-    throw RecordError(kRecordKind, "specification", error.what());
+    throw RecordError(kRecordKind, kSpecification, error.what());
   }
 }
 
--- a/src/storage/placement_record.cpp
+++ b/src/storage/placement_record.cpp
@@ -48,8 +48,10 @@
   const RecordReader reader(kRecordKind, data);
   PlacementRecord record;
   record.attempt = reader.integer(kAttempt);
-  reader.for_each(kDone, [&](const Json& item) { record.done.push_back(decode_range(item)); });
-  reader.for_each(kPlaced, [&](const Json& item) { record.placed.push_back(decode_placed(item)); });
+  reader.for_each(kDone, "[first task, last task]",
+                  [&](const Json& item) { record.done.push_back(decode_range(item)); });
+  reader.for_each(kPlaced, "[task, attempt, machine, incarnation]",
+                  [&](const Json& item) { record.placed.push_back(decode_placed(item)); });
   return record;
 }
 
--- a/src/storage/record_error.hpp
+++ b/src/storage/record_error.hpp
@@ -33,6 +33,15 @@
   std::string field_;
 };
 
+/// Returns the start of a stored value as JSON, for error messages.
+inline std::string describe(const Json& value) {
+  constexpr size_t kMaxBytes = 200;
+  constexpr int kNoIndent = -1;
+  std::string text = value.dump(kNoIndent, ' ', true, Json::error_handler_t::replace);
+  if (text.size() > kMaxBytes) text = text.substr(0, kMaxBytes) + "...";
+  return text;
+}
+
 /// Reads the fields of one stored record. Every error is thrown as a RecordError.
 ///
 /// Keeps a reference to the data, which must outlive the reader.
@@ -58,12 +67,19 @@
   }
 
   /// Calls `decode_item` with each item of a list. An absent list is treated as empty.
+  /// `expected`: the form of an item, for error messages.
   template <typename DecodeItem>
-  void for_each(const char* field, DecodeItem decode_item) const {
+  void for_each(const char* field, const char* expected, DecodeItem decode_item) const {
     const Json* items = protocol::find(data_, field);
     if (items == nullptr) return;
     for (const Json& item : *items) {
-      read(field, [&] { decode_item(item); });
+      try {
+        decode_item(item);
+      } catch (const std::exception& error) {
+        throw RecordError(record_, field,
+                          "each item must be " + std::string(expected) + ", found " +
+                              describe(item) + ": " + error.what());
+      }
     }
   }
 
@@ -74,16 +90,23 @@
   }
 
  private:
-  /// Runs `function` and converts any exception into a RecordError that names the field.
+  /// Runs `function` and converts any exception into a RecordError that names the field and the
+  /// value found in it.
   template <typename Function>
   std::invoke_result_t<Function> read(const char* field, Function function) const {
     try {
       return function();
     } catch (const std::exception& error) {
-      throw RecordError(record_, field, error.what());
+      throw RecordError(record_, field, error.what() + found(field));
     }
   }
 
+  std::string found(const char* field) const {
+    if (!data_.is_object()) return ", the record must be an object, found " + describe(data_);
+    const Json* value = protocol::find(data_, field);
+    return value == nullptr ? "" : ", found " + describe(*value);
+  }
+
   const char* record_;
   const Json& data_;
 };
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -42,26 +42,38 @@
 TEST(Records, ErrorsNameTheRecordAndTheField) {
   const auto decode_any_job = [](const Json& data) { decode_job("job-1", data); };
   Json job = encode(JobRecord{testing::spec("job-1", 3), 1.5, 16, false});
+  Json invalid_spec = job;
+  invalid_spec["team"] = 3;
   job["chunk"] = "many";
   const struct {
     std::function<void(const Json&)> decode;
     Json data;
     const char* record;
     const char* field;
+    const char* found;  // must be part of the text
   } cases[] = {
-      {decode_placement_record, Json::parse(R"({})"), "placement", "attempt"},
-      {decode_placement_record, Json::parse(R"({"attempt":-1})"), "placement", "attempt"},
-      {decode_placement_record, Json::parse(R"({"attempt":1,"done":[[2]]})"), "placement", "done"},
+      {decode_placement_record, Json::parse(R"({})"), "placement", "attempt", "is missing"},
+      {decode_placement_record, Json::parse(R"({"attempt":-1})"), "placement", "attempt",
+       "found -1"},
+      {decode_placement_record, Json::parse(R"({"attempt":1,"done":[[2]]})"), "placement", "done",
+       "must be [first task, last task], found [2]"},
       {decode_placement_record, Json::parse(R"({"attempt":1,"placed":[[2,1,3,1]]})"), "placement",
-       "placed"},
-      {decode_finished, Json::parse(R"({"cancelled":1,"tasks":3})"), "finished job", "cancelled"},
-      {decode_images, Json::parse(R"({"images":{}})"), "machine images", "images"},
-      {decode_images, Json::parse(R"({"images":[["img-1"]]})"), "machine images", "images"},
-      {decode_relay_request, Json::parse(R"({"number":1,"batch":3})"), "relay request", "batch"},
-      {decode_relay_answer, Json::parse(R"({"number":1,"status":200})"), "relay answer", "body"},
-      {decode_version, Json::parse(R"([])"), "version", "version"},
-      {decode_any_job, Json::parse(R"({"at":1.0,"chunk":1})"), "job", "specification"},
-      {decode_any_job, job, "job", "chunk"},
+       "placed", "must be [task, attempt, machine, incarnation], found [2,1,3,1]"},
+      {decode_finished, Json::parse(R"({"cancelled":1,"tasks":3})"), "finished job", "cancelled",
+       "found 1"},
+      {decode_images, Json::parse(R"({"images":{}})"), "machine images", "images",
+       "must be a list of [name, size in GB], found {}"},
+      {decode_images, Json::parse(R"({"images":[["img-1"]]})"), "machine images", "images",
+       "found [[\"img-1\"]]"},
+      {decode_relay_request, Json::parse(R"({"number":1,"batch":3})"), "relay request", "batch",
+       "found 3"},
+      {decode_relay_answer, Json::parse(R"({"number":1,"status":200})"), "relay answer", "body",
+       "is missing"},
+      {decode_version, Json::parse(R"([])"), "version", "version", "must be an object, found []"},
+      {decode_any_job, Json::parse(R"({"at":1.0,"chunk":1})"), "job", "specification",
+       "is missing"},
+      {decode_any_job, invalid_spec, "job", "specification", "team must be a string, found 3"},
+      {decode_any_job, job, "job", "chunk", "found \"many\""},
   };
   for (const auto& c : cases) {
     SCOPED_TRACE(c.data.dump());
@@ -71,6 +83,7 @@
     } catch (const RecordError& error) {
       EXPECT_EQ(error.record(), c.record) << error.what();
       EXPECT_EQ(error.field(), c.field) << error.what();
+      EXPECT_NE(std::string(error.what()).find(c.found), std::string::npos) << error.what();
     }
   }
 }
