--- a/src/coordination/election/election.cpp
+++ b/src/coordination/election/election.cpp
@@ -110,7 +110,8 @@
   if (term_) {
     const bool own_key = own_member && record.lease_id == term_->lease_id;
     if (!own_key && revision > term_->fencing_token) {
-      end_term("a newer leader holds the key: " + leader_);
+      end_term("member " + leader_ + " wrote the leader key at revision " +
+               std::to_string(revision));
     }
     return;
   }
@@ -121,7 +122,7 @@
 
 void Election::observe_no_leader() {
   leader_.clear();
-  end_term("the leader key was deleted");
+  end_term("the leader key was deleted from the store");
   campaign(kKeyAbsent);
 }
 
@@ -189,7 +190,8 @@
 
 void Election::handle_renewal(Status status, Seconds sent_at) {
   if (status == Status::missing) {
-    end_term("its lease has expired");
+    end_term("the store no longer has lease " + std::to_string(term_->lease_id) +
+             " of the leader key");
     campaign(kKeyAbsent);
     return;
   }
@@ -208,8 +210,10 @@
   }
   term_->lease.renewal_answered(sent_at);
   if (term_->lease.is_view_overdue(sent_at)) {
-    step_down("its watch on the jobs is not answered, though its lease is renewed",
-              lease_duration_ * kOverdueViewPauseLeases);
+    step_down(
+        "the watch of the job records has gone unanswered for too long while lease renewals "
+        "succeed",
+        lease_duration_ * kOverdueViewPauseLeases);
     return;
   }
   schedule_renewal(lease_duration_ * kRenewRatio, sent_at);
@@ -244,9 +248,9 @@
       term_->lease.renewed(sent_at);
     }));
   } else if (status == Status::ok) {
-    end_term("the leader key is no longer its own");
+    end_term("the leader key has been overwritten at revision " + std::to_string(revision));
   } else if (status == Status::missing) {
-    end_term("the leader key is no longer its own");
+    end_term("the leader key is missing from the store");
     campaign(kKeyAbsent);
   }
 }
@@ -273,7 +277,8 @@
     term_->fencing_token = reply.revision;
     leader_revision_ = std::max(leader_revision_, reply.revision);
   } else if (reply.status == Status::conflict) {
-    end_term("the leader key has changed");
+    end_term("raising the fencing token failed: the leader key is no longer at revision " +
+             std::to_string(term_->fencing_token));
   }
 }
 
--- a/src/coordination/records/placement_writer.cpp
+++ b/src/coordination/records/placement_writer.cpp
@@ -171,8 +171,13 @@
     handle_size_rejection(job, batch.shards);
     return;
   }
+  std::string changed_keys;
+  for (const std::string& key : reply.failed) {
+    changed_keys += (changed_keys.empty() ? "" : ", ") + key;
+  }
   spdlog::error("placement write failed: job={}", job.id());
-  leadership_.resign("a stored record differs from what this leader last wrote or read");
+  leadership_.resign("stored records of job " + job.id() +
+                     " differ from what this leader last wrote or read: " + changed_keys);
 }
 
 void PlacementWriter::write_succeeded(Job& job, const Batch& batch, std::uint64_t revision) {
--- a/src/coordination/recovery/job_watch.cpp
+++ b/src/coordination/recovery/job_watch.cpp
@@ -52,7 +52,8 @@
 
 void JobWatch::handle_watch_reply(Seconds requested_at, const storage::WatchReply& reply) {
   if (reply.status == Status::too_old) {
-    leadership_.resign("job watch missed changes: its revision is no longer available");
+    leadership_.resign("job watch missed changes: the store no longer has those after revision " +
+                       std::to_string(watched_revision_));
     return;
   }
   if (reply.status != Status::ok) {
@@ -127,7 +128,8 @@
 void JobWatch::handle_refresh_reply(const std::string& id, Status status,
                                     const storage::Entry& entry) {
   if (status == Status::missing) {
-    leadership_.resign("record of job " + id + " is missing");
+    leadership_.resign("the record of job " + id +
+                       ", which is known to this leader, is missing from the store");
     return;
   }
   if (status != Status::ok) {
--- a/src/coordination/recovery/state_recovery.cpp
+++ b/src/coordination/recovery/state_recovery.cpp
@@ -94,7 +94,7 @@
       restore_placement(*job, placement_key->shard, entry, now);
     } catch (const std::exception& error) {
       spdlog::error("record invalid: key={} error=\"{}\"", entry.key, error.what());
-      leadership_.resign("placement record " + entry.key + " is invalid");
+      leadership_.resign("placement record " + entry.key + " is invalid: " + error.what());
       return false;
     }
   }
--- a/src/coordination/scaling/cloud_reconciler.cpp
+++ b/src/coordination/scaling/cloud_reconciler.cpp
@@ -196,7 +196,7 @@
 void CloudReconciler::handle_release_response(const std::vector<std::string>& names,
                                               Outcome outcome, const Response& response) {
   if (is_ok(outcome, response)) {
-    for (const auto& name : names) remove_machine(name, "released");
+    for (const auto& name : names) remove_machine(name, "released to the cloud");
     return;
   }
   scope_.after(settings_.heartbeat_interval_s, [this, names] { retry_release(names); });
@@ -214,7 +214,7 @@
   if (machine == nullptr) return;
   spdlog::info("machine removed: machine={} reason=\"{}\"", name, reason);
   removed_.add(name, clock_.now());
-  callbacks_.all_tasks_lost(*machine, "machine " + name + " removed");
+  callbacks_.all_tasks_lost(*machine, "machine " + name + " removed: " + reason);
   cluster_.remove_machine(name);
   callbacks_.machine_removed(name);
 }
@@ -288,7 +288,7 @@
 void CloudReconciler::handle_failed_machine(const std::string& name) {
   Machine* machine = cluster_.find_machine(name);
   if (machine == nullptr || machine->being_released) return;
-  callbacks_.all_tasks_lost(*machine, "machine " + name + " failed");
+  callbacks_.all_tasks_lost(*machine, "the cloud lists machine " + name + " as failed");
   release_machines({name});
 }
 
@@ -319,7 +319,7 @@
       missing.push_back(name);
     }
   }
-  for (const auto& name : missing) remove_machine(name, "no longer listed");
+  for (const auto& name : missing) remove_machine(name, "missing from the cloud's machine list");
 }
 
 }  // namespace larkroad::coordination
--- a/src/coordination/workers/task_reconciler.cpp
+++ b/src/coordination/workers/task_reconciler.cpp
@@ -16,7 +16,7 @@
 // raised.
 constexpr int kMaxRetainedExits = 6;
 
-constexpr const char* kAbsentReason = "task not reported by its machine";
+constexpr const char* kAbsentReason = "the machine's report of its tasks does not list this task";
 
 const char* state_name(TaskState state) {
   switch (state) {
@@ -181,10 +181,12 @@
     default:
       break;
   }
-  callbacks_.task_gone(job, task.id.task, cause);
+  const std::string reason =
+      "task " + task.id.text() + " exited on machine " + machine.name + " with cause " + cause;
+  callbacks_.task_gone(job, task.id.task, reason);
   // A gang's attempt ends with the exit of any of its tasks. The worker remembers the attempt, so
   // launching it there again would have no effect; unfinished members restart under the next one.
-  if (has_several_members(job.spec)) callbacks_.abort_gang_attempt(job, cause);
+  if (has_several_members(job.spec)) callbacks_.abort_gang_attempt(job, reason);
 }
 
 void TaskReconciler::complete_task(Machine& machine, Job& job, std::uint32_t task) {
