--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -21,7 +21,8 @@
 constexpr size_t kMaxResponseBytes = size_t{8} * 1024 * 1024;
 constexpr size_t kReadBufferBytes = 8192;
 constexpr int kMaxPort = 65535;
-// When the socket limit is reached, one out of this many connections is closed to make room.
+// When the socket limit is reached, up to (limit / divisor + 1) idle connections are closed, those
+// idle for longest first, so that new ones can be opened.
 constexpr size_t kIdleEvictionDivisor = 8;
 
 std::optional<asio::ip::tcp::endpoint> parse_endpoint(const std::string& text) {
