--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,6 +1,7 @@
 #include "settings.hpp"
 
 #include <gtest/gtest.h>
+#include <unistd.h>
 
 #include <cstdio>
 #include <fstream>
@@ -143,7 +144,8 @@
     EXPECT_STREQ(error.what(),
                  "settings: cannot read /nonexistent/settings.toml: No such file or directory");
   }
-  const std::string path = ::testing::TempDir() + "larkroad_invalid_operators.toml";
+  const std::string path =
+      ::testing::TempDir() + "larkroad_invalid_operators_" + std::to_string(getpid()) + ".toml";
   std::ofstream(path) << "[gangs]\nhold = 5\n";
   try {
     load_operators(path);
