--- a/src/coordination/leader/scheduling_loop.cpp
+++ b/src/coordination/leader/scheduling_loop.cpp
@@ -41,7 +41,7 @@
   term_scope_.restart();
   started_ = false;
   cycle_scheduled_ = false;
-  resume_at_ = 0;
+  resume_index_ = 0;
 }
 
 void SchedulingLoop::end_term() {
@@ -64,7 +64,7 @@
   CycleLimits limits;
   limits.reservation_limit_s = settings_.operators.reservation_limit_s;
   limits.start_bound_s = settings_.operators.start_bound_s;
-  limits.start_index = resume_at_;
+  limits.start_index = resume_index_;
   limits.defer_low_priority = lag_.lag() > settings_.heartbeat_interval_s * kOverloadRatio;
   limits.out_of_time = [this, started_at] {
     return clock_.now() - started_at >
@@ -78,7 +78,7 @@
   const Seconds started_at = clock_.now();
   const CycleLimits cycle_limits = limits(started_at);
   const Plan result = plan(cluster_, reservations_, started_at, cycle_limits);
-  resume_at_ = result.resume_index;
+  resume_index_ = result.resume_index;
   for (const auto& assignment : result.assignments) {
     apply(assignment, cycle_limits.start_bound_s);
   }
--- a/src/coordination/leader/scheduling_loop.hpp
+++ b/src/coordination/leader/scheduling_loop.hpp
@@ -47,7 +47,7 @@
   /// Schedules a cycle, unless one is scheduled already.
   void request_cycle();
   /// Whether the last cycle exceeded its time budget, so that the next one continues from there.
-  bool is_unfinished() const { return resume_at_ != 0; }
+  bool is_unfinished() const { return resume_index_ != 0; }
 
  private:
   void run_cycle();
@@ -68,7 +68,7 @@
   transport::CallbackScope term_scope_;  // timers of the current term
   bool started_ = false;
   bool cycle_scheduled_ = false;  // the timer of the next cycle is pending
-  size_t resume_at_ = 0;          // index in the job queue; 0: from the start
+  size_t resume_index_ = 0;       // index in the job queue; 0: from the start
   Seconds next_cycle_at_ = 0;     // no cycle starts earlier; kept across terms
 };
 
