--- a/src/coordination/workers/heartbeat_processor.cpp
+++ b/src/coordination/workers/heartbeat_processor.cpp
@@ -68,7 +68,7 @@
     // The lease of an incarnation that no leader has answered counts from its beginning, which may
     // be as late as now. Otherwise a machine known only through `/inspect`, which holds new tasks,
     // would have its lease expired by the bound on the earlier leader's answers (simulation
-    // scenario cut_off_while_the_leader_changes).
+    // scenario machines_partitioned_during_failover).
     machine.lease_renewed_at = std::max(machine.lease_renewed_at, now);
   }
   if (!machine.has_reported) register_machine(machine, heartbeat);
